--- a/core/src/main/java/org/marjoramsail/core/condition/ConditionChange.java
+++ b/core/src/main/java/org/marjoramsail/core/feedback/FeedbackChange.java
@@ -1,9 +1,9 @@
-package org.marjoramsail.core.condition;
+package org.marjoramsail.core.feedback;
 
 import java.util.Locale;
 
 /** How a statement changed what a host believes of an upstream. */
-public enum ConditionChange {
+public enum FeedbackChange {
   LIMIT_STATED,
   LIMIT_CHANGED,
   LIMIT_ENDED,
--- a/core/src/main/java/org/marjoramsail/core/condition/StatedCondition.java
+++ b/core/src/main/java/org/marjoramsail/core/feedback/RelayedFeedback.java
@@ -1,4 +1,4 @@
-package org.marjoramsail.core.condition;
+package org.marjoramsail.core.feedback;
 
 import com.fasterxml.jackson.annotation.JsonFormat;
 import java.util.Optional;
@@ -15,7 +15,7 @@
  * @param ageMillis how long ago the host heard of its limit last; zero where there is none
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-public record StatedCondition(
+public record RelayedFeedback(
     UpstreamName upstream,
     long startedAtMillis,
     Optional<Double> requestsPerSecond,
--- a/core/src/main/java/org/marjoramsail/core/condition/UpstreamStatement.java
+++ b/core/src/main/java/org/marjoramsail/core/feedback/UpstreamFeedback.java
@@ -1,4 +1,4 @@
-package org.marjoramsail.core.condition;
+package org.marjoramsail.core.feedback;
 
 import java.util.Optional;
 
@@ -11,13 +11,13 @@
  * @param pauseMillis how long it wants nothing from the host that it answers
  * @param unreadable how many of its statements mean nothing, a limit below zero for instance
  */
-public record UpstreamStatement(
+public record UpstreamFeedback(
     Optional<Double> requestsPerSecond,
     boolean leaving,
     Optional<Long> pauseMillis,
     int unreadable) {
 
   /** An answer that says nothing of its upstream. */
-  public static final UpstreamStatement NOTHING =
-      new UpstreamStatement(Optional.empty(), false, Optional.empty(), 0);
+  public static final UpstreamFeedback NOTHING =
+      new UpstreamFeedback(Optional.empty(), false, Optional.empty(), 0);
 }
--- a/core/src/main/java/org/marjoramsail/core/condition/UpstreamConditions.java
+++ b/core/src/main/java/org/marjoramsail/core/feedback/UpstreamFeedbackTable.java
@@ -1,4 +1,4 @@
-package org.marjoramsail.core.condition;
+package org.marjoramsail.core.feedback;
 
 import java.util.ArrayList;
 import java.util.EnumSet;
@@ -24,7 +24,7 @@
  *
  * <p>Safe for several threads.
  */
-public final class UpstreamConditions {
+public final class UpstreamFeedbackTable {
 
   /** A life that was not listed for so long is over, in milliseconds. */
   private static final long FORGET_MILLIS = 600_000;
@@ -36,12 +36,12 @@
     private boolean leaving;
     private long pausedUntilMillis = Long.MIN_VALUE;
 
-    boolean isToTell() {
+    boolean needsRelay() {
       return leaving || requestsPerSecond.isPresent();
     }
 
-    StatedCondition told(Incarnation upstream, long nowMillis) {
-      return new StatedCondition(
+    RelayedFeedback told(Incarnation upstream, long nowMillis) {
+      return new RelayedFeedback(
           upstream.upstream(),
           upstream.startedAtMillis(),
           requestsPerSecond,
@@ -53,7 +53,7 @@
   private final Map<Incarnation, Belief> beliefs = new HashMap<>();
 
   /** Starts with nothing heard. */
-  public UpstreamConditions() {}
+  public UpstreamFeedbackTable() {}
 
   /**
    * Handles what an upstream said of itself in an answer.
@@ -61,16 +61,16 @@
    * @param upstream the life that was believed in when its request was sent
    * @return how that changes what is believed
    */
-  public synchronized Set<ConditionChange> heard(
-      Incarnation upstream, UpstreamStatement statement, long nowMillis) {
-    if (statement.equals(UpstreamStatement.NOTHING) && !beliefs.containsKey(upstream)) {
+  public synchronized Set<FeedbackChange> heard(
+      Incarnation upstream, UpstreamFeedback statement, long nowMillis) {
+    if (statement.equals(UpstreamFeedback.NOTHING) && !beliefs.containsKey(upstream)) {
       return Set.of();
     }
-    Set<ConditionChange> changes = EnumSet.noneOf(ConditionChange.class);
+    Set<FeedbackChange> changes = EnumSet.noneOf(FeedbackChange.class);
     Belief belief = beliefs.computeIfAbsent(upstream, life -> new Belief());
     belief.listedAtMillis = nowMillis;
     if (statement.unreadable() > 0) {
-      changes.add(ConditionChange.UNREADABLE);
+      changes.add(FeedbackChange.UNREADABLE);
     }
     limitChange(belief, statement).ifPresent(changes::add);
     if (statement.requestsPerSecond().isPresent()) {
@@ -78,14 +78,14 @@
     }
     if (statement.leaving() && !belief.leaving) {
       belief.leaving = true;
-      changes.add(ConditionChange.LEAVING_STATED);
+      changes.add(FeedbackChange.LEAVING_STATED);
     }
     statement
         .pauseMillis()
         .ifPresent(
             millis -> {
               belief.pausedUntilMillis = Math.max(belief.pausedUntilMillis, nowMillis + millis);
-              changes.add(ConditionChange.PAUSE_ASKED);
+              changes.add(FeedbackChange.PAUSE_ASKED);
             });
     return changes;
   }
@@ -102,15 +102,15 @@
   }
 
   /** What the owner of a shard has to know of its upstreams; mostly nothing. */
-  public synchronized List<StatedCondition> toTell(
+  public synchronized List<RelayedFeedback> toRelay(
       List<UpstreamDefinition> upstreams, long nowMillis) {
-    if (beliefs.values().stream().noneMatch(Belief::isToTell)) {
+    if (beliefs.values().stream().noneMatch(Belief::needsRelay)) {
       return List.of();
     }
-    List<StatedCondition> told = new ArrayList<>();
+    List<RelayedFeedback> told = new ArrayList<>();
     for (UpstreamDefinition upstream : upstreams) {
       Belief belief = beliefs.get(upstream.incarnation());
-      if (belief != null && belief.isToTell()) {
+      if (belief != null && belief.needsRelay()) {
         told.add(belief.told(upstream.incarnation(), nowMillis));
       }
     }
@@ -160,7 +160,7 @@
   }
 
   /** A statement that cannot be read says neither that there is a limit nor that there is none. */
-  private static Optional<ConditionChange> limitChange(Belief belief, UpstreamStatement statement) {
+  private static Optional<FeedbackChange> limitChange(Belief belief, UpstreamFeedback statement) {
     Optional<Double> before = belief.requestsPerSecond;
     Optional<Double> after = statement.requestsPerSecond();
     if (before.equals(after) || (after.isEmpty() && statement.unreadable() > 0)) {
@@ -168,9 +168,8 @@
     }
     belief.requestsPerSecond = after;
     if (before.isEmpty()) {
-      return Optional.of(ConditionChange.LIMIT_STATED);
+      return Optional.of(FeedbackChange.LIMIT_STATED);
     }
-    return Optional.of(
-        after.isEmpty() ? ConditionChange.LIMIT_ENDED : ConditionChange.LIMIT_CHANGED);
+    return Optional.of(after.isEmpty() ? FeedbackChange.LIMIT_ENDED : FeedbackChange.LIMIT_CHANGED);
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/condition/package-info.java
+++ b/core/src/main/java/org/marjoramsail/core/feedback/package-info.java
@@ -4,4 +4,4 @@
  * <p>Such a statement ages, belongs to one life of its upstream, and is known at first only to the
  * host that got the answer.
  */
-package org.marjoramsail.core.condition;
+package org.marjoramsail.core.feedback;
--- a/core/src/main/java/org/marjoramsail/core/placement/ConditionBelief.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/AcceptedFeedback.java
@@ -13,7 +13,7 @@
  * @param heardFrom the host that got the answer
  * @param ageMillis how old the answer was when the owner heard of it
  */
-public record ConditionBelief(
+public record AcceptedFeedback(
     UpstreamName upstream,
     Optional<Double> requestsPerSecond,
     boolean leaving,
--- a/core/src/main/java/org/marjoramsail/core/placement/EntryPlacement.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/EntryPlacement.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.marjoramsail.core.condition.StatedCondition;
-import org.marjoramsail.core.condition.UpstreamConditions;
 import org.marjoramsail.core.failure.Refusal;
 import org.marjoramsail.core.failure.RefusalReason;
+import org.marjoramsail.core.feedback.RelayedFeedback;
+import org.marjoramsail.core.feedback.UpstreamFeedbackTable;
 import org.marjoramsail.core.model.DaemonId;
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.model.UpstreamName;
@@ -53,7 +53,7 @@
   private final PlacementTimings timings;
   private final ShardDirectory directory;
   private final OwnerSilence silence;
-  private final UpstreamConditions conditions;
+  private final UpstreamFeedbackTable conditions;
   private final Map<RequestId, Entry> entries = new LinkedHashMap<>();
   private final Map<OwnedShard, Long> toldAt = new HashMap<>();
 
@@ -69,7 +69,7 @@
       DaemonId self,
       PlacementTimings timings,
       ShardDirectory directory,
-      UpstreamConditions conditions) {
+      UpstreamFeedbackTable conditions) {
     this.self = self;
     this.timings = timings;
     this.directory = directory;
@@ -278,8 +278,8 @@
         nowMillis);
   }
 
-  private List<StatedCondition> conditionsOf(ShardId shard, long nowMillis) {
-    return conditions.toTell(directory.upstreamsOf(shard), nowMillis);
+  private List<RelayedFeedback> conditionsOf(ShardId shard, long nowMillis) {
+    return conditions.toRelay(directory.upstreamsOf(shard), nowMillis);
   }
 
   private static PlacementRequest aged(Entry entry, long nowMillis) {
--- a/core/src/main/java/org/marjoramsail/core/placement/OwnerConditions.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/OwnerFeedback.java
@@ -2,24 +2,24 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.marjoramsail.core.condition.StatedCondition;
+import org.marjoramsail.core.feedback.RelayedFeedback;
 import org.marjoramsail.core.model.DaemonId;
 
 /** What the owner of a shard is told of the upstreams' own words, and what it believes since. */
-final class OwnerConditions {
+final class OwnerFeedback {
 
   private final ShardUpstreams upstreams;
-  private final List<ConditionBelief> beliefs = new ArrayList<>(0);
+  private final List<AcceptedFeedback> beliefs = new ArrayList<>(0);
 
-  OwnerConditions(ShardUpstreams upstreams) {
+  OwnerFeedback(ShardUpstreams upstreams) {
     this.upstreams = upstreams;
   }
 
   /** Handles what an upstream said of itself to a host. */
-  void stated(StatedCondition condition, DaemonId from, long nowMillis) {
+  void acceptFeedback(RelayedFeedback condition, DaemonId from, long nowMillis) {
     upstreams
         .find(condition.upstream())
-        .filter(upstream -> upstream.stated(condition, nowMillis))
+        .filter(upstream -> upstream.acceptFeedback(condition, nowMillis))
         .ifPresent(upstream -> believe(upstream, from, condition.ageMillis()));
   }
 
@@ -39,24 +39,24 @@
   }
 
   /** What has come to be believed since this was last asked. */
-  List<ConditionBelief> take() {
-    List<ConditionBelief> taken = List.copyOf(beliefs);
+  List<AcceptedFeedback> take() {
+    List<AcceptedFeedback> taken = List.copyOf(beliefs);
     beliefs.clear();
     return taken;
   }
 
   private void endLimit(UpstreamState upstream, RunningAttempt attempt, long nowMillis) {
-    if (upstream.limit().notStated(attempt.startedAt(), nowMillis)) {
+    if (upstream.limit().limitAbsent(attempt.startedAt(), nowMillis)) {
       believe(upstream, attempt.request().entry(), 0);
     }
   }
 
   private void believe(UpstreamState upstream, DaemonId from, long ageMillis) {
     beliefs.add(
-        new ConditionBelief(
+        new AcceptedFeedback(
             upstream.name(),
             upstream.limit().perSecond(),
-            upstream.isLeavingByItsWord(),
+            upstream.isAnnouncedLeaving(),
             from,
             ageMillis));
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementMessage.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementMessage.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 import com.fasterxml.jackson.annotation.JsonInclude;
 import java.util.List;
-import org.marjoramsail.core.condition.StatedCondition;
 import org.marjoramsail.core.failure.Refusal;
+import org.marjoramsail.core.feedback.RelayedFeedback;
 import org.marjoramsail.core.message.PeerMessage;
 import org.marjoramsail.core.model.RequestId;
 
@@ -26,7 +26,7 @@
    * owners before it: whatever it grants to a host, it knows what that host was told. Mostly it is
    * nothing, and then takes no bytes.
    */
-  default List<StatedCondition> conditions() {
+  default List<RelayedFeedback> conditions() {
     return List.of();
   }
 
@@ -34,7 +34,7 @@
   record Place(
       ShardId shard,
       PlacementRequest request,
-      @JsonInclude(JsonInclude.Include.NON_EMPTY) List<StatedCondition> conditions)
+      @JsonInclude(JsonInclude.Include.NON_EMPTY) List<RelayedFeedback> conditions)
       implements PlacementMessage {
 
     /** Copies the list, which is absent where it is empty. */
@@ -49,7 +49,7 @@
       PlacementRequest request,
       Grant grant,
       AttemptPhase phase,
-      @JsonInclude(JsonInclude.Include.NON_EMPTY) List<StatedCondition> conditions)
+      @JsonInclude(JsonInclude.Include.NON_EMPTY) List<RelayedFeedback> conditions)
       implements PlacementMessage {
 
     /** Copies the list, which is absent where it is empty. */
@@ -62,7 +62,7 @@
   record Report(
       ShardId shard,
       AttemptReport report,
-      @JsonInclude(JsonInclude.Include.NON_EMPTY) List<StatedCondition> conditions)
+      @JsonInclude(JsonInclude.Include.NON_EMPTY) List<RelayedFeedback> conditions)
       implements PlacementMessage {
 
     /** Copies the list, which is absent where it is empty. */
@@ -100,7 +100,7 @@
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record Holding(RequestId request, int attempt, boolean granted) {}
 
-  private static List<StatedCondition> orNone(List<StatedCondition> conditions) {
+  private static List<RelayedFeedback> orNone(List<RelayedFeedback> conditions) {
     return conditions == null ? List.of() : List.copyOf(conditions);
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/Placer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/Placer.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.marjoramsail.core.condition.StatedCondition;
 import org.marjoramsail.core.configuration.Configuration;
+import org.marjoramsail.core.feedback.RelayedFeedback;
 import org.marjoramsail.core.model.DaemonId;
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.model.UpstreamName;
@@ -45,12 +45,13 @@
    *
    * @param from the host
    */
-  default List<PlacementResult> stated(StatedCondition condition, DaemonId from, long nowMillis) {
+  default List<PlacementResult> acceptFeedback(
+      RelayedFeedback condition, DaemonId from, long nowMillis) {
     return List.of();
   }
 
   /** What has come to be believed of upstreams by their own words since this was last asked. */
-  default List<ConditionBelief> takeConditionBeliefs() {
+  default List<AcceptedFeedback> takeAcceptedFeedback() {
     return List.of();
   }
 
--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.marjoramsail.core.condition.StatedCondition;
 import org.marjoramsail.core.configuration.Configuration;
 import org.marjoramsail.core.failure.Refusal;
 import org.marjoramsail.core.failure.RefusalReason;
+import org.marjoramsail.core.feedback.RelayedFeedback;
 import org.marjoramsail.core.model.DaemonId;
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.model.ServiceClass;
@@ -46,7 +46,7 @@
   private final ShardId shard;
   private final PlacementSettings settings;
   private final ShardUpstreams upstreams;
-  private final OwnerConditions conditions;
+  private final OwnerFeedback conditions;
   private final OrganisationTable organisations;
   private final PlacementEstimates estimates;
   private final UpstreamSelector selector;
@@ -70,7 +70,7 @@
         new OrganisationTable(shard, setup.random().nextLong(), setup.isTakenOver(), nowMillis);
     this.estimates = new PlacementEstimates(settings);
     this.upstreams = new ShardUpstreams(settings, estimates.spread());
-    this.conditions = new OwnerConditions(upstreams);
+    this.conditions = new OwnerFeedback(upstreams);
     this.selector = new UpstreamSelector(upstreams, estimates, setup, nowMillis);
     this.ledger = new SlotLedger(upstreams, estimates);
     this.waits = new WaitEstimator(upstreams, queue, estimates, selector);
@@ -171,13 +171,14 @@
   }
 
   @Override
-  public List<PlacementResult> stated(StatedCondition condition, DaemonId from, long nowMillis) {
-    conditions.stated(condition, from, nowMillis);
+  public List<PlacementResult> acceptFeedback(
+      RelayedFeedback condition, DaemonId from, long nowMillis) {
+    conditions.acceptFeedback(condition, from, nowMillis);
     return dispatch(nowMillis);
   }
 
   @Override
-  public List<ConditionBelief> takeConditionBeliefs() {
+  public List<AcceptedFeedback> takeAcceptedFeedback() {
     return conditions.take();
   }
 
@@ -329,7 +330,7 @@
             .anyMatch(
                 upstream ->
                     upstream.isConfigured()
-                        && !upstream.isLeavingByItsWord()
+                        && !upstream.isAnnouncedLeaving()
                         && upstream.role() == role
                         && !request.avoid().contains(upstream.name()));
     if (!isAnyLeft) {
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardLedger.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardLedger.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.marjoramsail.core.condition.StatedCondition;
+import org.marjoramsail.core.feedback.RelayedFeedback;
 import org.marjoramsail.core.model.DaemonId;
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.placement.PlacementMessage.Holding;
@@ -70,8 +70,8 @@
       return decide(from, message, nowMillis);
     }
     List<Outgoing> result = new ArrayList<>();
-    for (StatedCondition condition : message.conditions()) {
-      result.addAll(outgoing(placer.stated(condition, from, nowMillis)));
+    for (RelayedFeedback condition : message.conditions()) {
+      result.addAll(outgoing(placer.acceptFeedback(condition, from, nowMillis)));
     }
     result.addAll(decide(from, message, nowMillis));
     return result;
@@ -143,8 +143,8 @@
   }
 
   /** What has come to be believed of upstreams by their own words since this was last asked. */
-  public List<ConditionBelief> takeConditionBeliefs() {
-    return placer.takeConditionBeliefs();
+  public List<AcceptedFeedback> takeAcceptedFeedback() {
+    return placer.takeAcceptedFeedback();
   }
 
   /** Whether no entry has anything here. */
--- a/core/src/main/java/org/marjoramsail/core/placement/StatedLimit.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamRateLimit.java
@@ -10,7 +10,7 @@
  * so it holds where places are granted; hosts tell what they heard with whatever they ask of the
  * owner, so that each owner knows it no later than it grants to a host that does.
  */
-final class StatedLimit {
+final class UpstreamRateLimit {
 
   /**
    * An upstream that wants nothing at all gets a request now and then, else nobody would learn that
@@ -30,8 +30,8 @@
   private long endedAt = NEVER;
 
   /** The one of the next life of the upstream, which has said nothing yet. */
-  StatedLimit ofNextLife() {
-    StatedLimit next = new StatedLimit();
+  UpstreamRateLimit ofNextLife() {
+    UpstreamRateLimit next = new UpstreamRateLimit();
     next.fleetShare = fleetShare;
     return next;
   }
@@ -53,7 +53,7 @@
    *
    * @return whether there was none before
    */
-  boolean stated(double newPerSecond, long statedAt, long nowMillis) {
+  boolean limitReceived(double newPerSecond, long statedAt, long nowMillis) {
     if (statedAt < heardAt || statedAt < endedAt) {
       return false;
     }
@@ -73,7 +73,7 @@
    * @param sentAt when its request was granted, which the answer cannot precede
    * @return whether that ends one
    */
-  boolean notStated(long sentAt, long nowMillis) {
+  boolean limitAbsent(long sentAt, long nowMillis) {
     if (perSecond.isEmpty() || sentAt <= heardAt) {
       return false;
     }
@@ -96,7 +96,7 @@
 
   /** How many requests a millisecond it lets through. */
   double perMilli() {
-    return perSecond.map(StatedLimit::spendable).orElse(Double.POSITIVE_INFINITY) / 1_000;
+    return perSecond.map(UpstreamRateLimit::spendable).orElse(Double.POSITIVE_INFINITY) / 1_000;
   }
 
   private void apply() {
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import org.marjoramsail.core.condition.StatedCondition;
 import org.marjoramsail.core.configuration.UpstreamDefinition;
+import org.marjoramsail.core.feedback.RelayedFeedback;
 import org.marjoramsail.core.model.UpstreamName;
 import org.marjoramsail.core.model.UpstreamRole;
 
@@ -34,7 +34,7 @@
   private final Deque<Long> recentEnds = new ArrayDeque<>();
 
   private EjectionState ejection;
-  private StatedLimit limit = new StatedLimit();
+  private UpstreamRateLimit limit = new UpstreamRateLimit();
   private UpstreamDefinition definition;
   private UpstreamRole role;
   private boolean configured = true;
@@ -158,7 +158,7 @@
   }
 
   /** How many requests a second it said that it takes, and how many it may get now. */
-  StatedLimit limit() {
+  UpstreamRateLimit limit() {
     return limit;
   }
 
@@ -167,7 +167,7 @@
    *
    * @return whether something is believed of it now that was not
    */
-  boolean stated(StatedCondition condition, long nowMillis) {
+  boolean acceptFeedback(RelayedFeedback condition, long nowMillis) {
     if (definition.incarnation().isOtherThan(condition.startedAtMillis())) {
       return false;
     }
@@ -177,7 +177,7 @@
     isNew |=
         condition
             .requestsPerSecond()
-            .filter(perSecond -> limit.stated(perSecond, statedAt, nowMillis))
+            .filter(perSecond -> limit.limitReceived(perSecond, statedAt, nowMillis))
             .isPresent();
     return isNew;
   }
@@ -200,7 +200,7 @@
   }
 
   /** Whether it said itself that it leaves, which ends with its life alone. */
-  boolean isLeavingByItsWord() {
+  boolean isAnnouncedLeaving() {
     return statedLeaving;
   }
 
--- a/core/src/test/java/org/marjoramsail/core/condition/UpstreamConditionsTest.java
+++ b/core/src/test/java/org/marjoramsail/core/feedback/UpstreamFeedbackTableTest.java
@@ -1,4 +1,4 @@
-package org.marjoramsail.core.condition;
+package org.marjoramsail.core.feedback;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -12,32 +12,32 @@
 import org.marjoramsail.core.model.UpstreamRole;
 
 /** What a host believes of upstreams after what they said of themselves. */
-class UpstreamConditionsTest {
+class UpstreamFeedbackTableTest {
 
   private static final UpstreamName NAME = new UpstreamName("plain-0");
   private static final Incarnation FIRST_LIFE = new Incarnation(NAME, 1_000);
   private static final Incarnation NEXT_LIFE = new Incarnation(NAME, 2_000);
-  private static final UpstreamStatement LEAVES =
-      new UpstreamStatement(Optional.empty(), true, Optional.empty(), 0);
-  private static final UpstreamStatement UNREADABLE =
-      new UpstreamStatement(Optional.empty(), false, Optional.empty(), 1);
+  private static final UpstreamFeedback LEAVES =
+      new UpstreamFeedback(Optional.empty(), true, Optional.empty(), 0);
+  private static final UpstreamFeedback UNREADABLE =
+      new UpstreamFeedback(Optional.empty(), false, Optional.empty(), 1);
 
-  private final UpstreamConditions conditions = new UpstreamConditions();
+  private final UpstreamFeedbackTable conditions = new UpstreamFeedbackTable();
 
   @Test
   void aLimitHoldsUntilAnAnswerNamesNone() {
-    assertThat(hear(limit(4))).containsExactly(ConditionChange.LIMIT_STATED);
+    assertThat(hear(limit(4))).containsExactly(FeedbackChange.LIMIT_STATED);
     assertThat(hear(limit(4))).isEmpty();
-    assertThat(hear(limit(2))).containsExactly(ConditionChange.LIMIT_CHANGED);
+    assertThat(hear(limit(2))).containsExactly(FeedbackChange.LIMIT_CHANGED);
     assertThat(conditions.limited()).isEqualTo(1);
 
-    assertThat(hear(UpstreamStatement.NOTHING)).containsExactly(ConditionChange.LIMIT_ENDED);
+    assertThat(hear(UpstreamFeedback.NOTHING)).containsExactly(FeedbackChange.LIMIT_ENDED);
     assertThat(conditions.limited()).isZero();
   }
 
   @Test
   void aLimitThatMeansNothingNeitherBeginsNorEndsOne() {
-    assertThat(hear(UNREADABLE)).containsExactly(ConditionChange.UNREADABLE);
+    assertThat(hear(UNREADABLE)).containsExactly(FeedbackChange.UNREADABLE);
     assertThat(conditions.limited()).isZero();
 
     hear(limit(4));
@@ -48,11 +48,11 @@
 
   @Test
   void leavingIsFinalForOneLifeAndSaysNothingOfTheNext() {
-    assertThat(hear(LEAVES)).containsExactly(ConditionChange.LEAVING_STATED);
-    assertThat(hear(UpstreamStatement.NOTHING)).isEmpty();
+    assertThat(hear(LEAVES)).containsExactly(FeedbackChange.LEAVING_STATED);
+    assertThat(hear(UpstreamFeedback.NOTHING)).isEmpty();
     assertThat(conditions.leaving()).isEqualTo(1);
 
-    assertThat(conditions.heard(NEXT_LIFE, UpstreamStatement.NOTHING, 10)).isEmpty();
+    assertThat(conditions.heard(NEXT_LIFE, UpstreamFeedback.NOTHING, 10)).isEmpty();
     assertThat(conditions.leaving()).isEqualTo(1);
   }
 
@@ -90,9 +90,9 @@
     UpstreamDefinition leaving = upstream("plain-2", false);
     conditions.heard(leaving.incarnation(), LEAVES, 0);
 
-    assertThat(conditions.toTell(List.of(drained, leaving), 10))
+    assertThat(conditions.toRelay(List.of(drained, leaving), 10))
         .containsExactly(
-            new StatedCondition(
+            new RelayedFeedback(
                 leaving.name(), Incarnation.UNKNOWN_START, Optional.empty(), true, 0));
   }
 
@@ -101,9 +101,9 @@
     UpstreamDefinition limited = upstream("plain-1", false);
     conditions.heard(limited.incarnation(), limit(4), 100);
 
-    assertThat(conditions.toTell(List.of(limited), 350))
+    assertThat(conditions.toRelay(List.of(limited), 350))
         .containsExactly(
-            new StatedCondition(
+            new RelayedFeedback(
                 limited.name(), Incarnation.UNKNOWN_START, Optional.of(4.0), false, 250));
   }
 
@@ -132,15 +132,15 @@
         drained);
   }
 
-  private Set<ConditionChange> hear(UpstreamStatement statement) {
+  private Set<FeedbackChange> hear(UpstreamFeedback statement) {
     return conditions.heard(FIRST_LIFE, statement, 0);
   }
 
-  private static UpstreamStatement limit(double perSecond) {
-    return new UpstreamStatement(Optional.of(perSecond), false, Optional.empty(), 0);
+  private static UpstreamFeedback limit(double perSecond) {
+    return new UpstreamFeedback(Optional.of(perSecond), false, Optional.empty(), 0);
   }
 
-  private static UpstreamStatement pause(long millis) {
-    return new UpstreamStatement(Optional.empty(), false, Optional.of(millis), 0);
+  private static UpstreamFeedback pause(long millis) {
+    return new UpstreamFeedback(Optional.empty(), false, Optional.of(millis), 0);
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/placement/AskedPauseTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/AskedPauseTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.marjoramsail.core.condition.UpstreamStatement;
+import org.marjoramsail.core.feedback.UpstreamFeedback;
 import org.marjoramsail.core.placement.HostsBeforeUpstreams.Arrival;
 import org.marjoramsail.core.placement.HostsBeforeUpstreams.End;
 import org.marjoramsail.core.placement.HostsBeforeUpstreams.Way;
@@ -27,8 +27,8 @@
 
   private static final int ALLOWED_REQUESTS = 2;
 
-  private static final UpstreamStatement TURNS_AWAY =
-      new UpstreamStatement(Optional.empty(), false, Optional.of(PAUSE_MILLIS), 0);
+  private static final UpstreamFeedback TURNS_AWAY =
+      new UpstreamFeedback(Optional.empty(), false, Optional.of(PAUSE_MILLIS), 0);
 
   @ParameterizedTest
   @CsvSource({"7, 3, 1, 1", "7, 3, 2, 2", "77, 12, 3, 1"})
@@ -66,7 +66,7 @@
         name ->
             fleet.events().now() >= FROM_MILLIS && fleet.upstreams().indexOf(name) < turning
                 ? TURNS_AWAY
-                : UpstreamStatement.NOTHING);
+                : UpstreamFeedback.NOTHING);
     fleet.load(10.0 * upstreams, 0, LENGTH_MILLIS);
     return fleet;
   }
--- a/core/src/test/java/org/marjoramsail/core/placement/HostsBeforeUpstreams.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/HostsBeforeUpstreams.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 import java.util.Random;
 import java.util.function.Function;
-import org.marjoramsail.core.condition.UpstreamConditions;
-import org.marjoramsail.core.condition.UpstreamStatement;
 import org.marjoramsail.core.configuration.Configuration;
 import org.marjoramsail.core.configuration.UpstreamDefinition;
+import org.marjoramsail.core.feedback.UpstreamFeedback;
+import org.marjoramsail.core.feedback.UpstreamFeedbackTable;
 import org.marjoramsail.core.model.DaemonId;
 import org.marjoramsail.core.model.Pieces;
 import org.marjoramsail.core.model.RequestId;
@@ -49,7 +49,7 @@
 
   private static final class Host {
     private final DaemonId id;
-    private final UpstreamConditions conditions = new UpstreamConditions();
+    private final UpstreamFeedbackTable conditions = new UpstreamFeedbackTable();
     private final Map<UpstreamName, TokenBucket> shares = new HashMap<>();
     private final EntryPlacement entry;
     private Optional<ShardLedger> ledger = Optional.empty();
@@ -64,7 +64,7 @@
               id,
               PlacementTimings.standard(),
               directory,
-              way == Way.AT_THE_OWNER ? conditions : new UpstreamConditions());
+              way == Way.AT_THE_OWNER ? conditions : new UpstreamFeedbackTable());
     }
   }
 
@@ -82,7 +82,7 @@
   private final Random random;
   private final long workMillis;
   private final Way way;
-  private Function<UpstreamName, UpstreamStatement> statements = name -> UpstreamStatement.NOTHING;
+  private Function<UpstreamName, UpstreamFeedback> statements = name -> UpstreamFeedback.NOTHING;
   private int sequence;
 
   /**
@@ -110,7 +110,7 @@
   }
 
   /** What each upstream says in its answers at this moment. */
-  void saying(Function<UpstreamName, UpstreamStatement> newer) {
+  void saying(Function<UpstreamName, UpstreamFeedback> newer) {
     statements = newer;
   }
 
@@ -356,7 +356,7 @@
     ask(host, avoid, Math.max(0, left));
   }
 
-  private void learnShare(Host host, UpstreamName upstream, UpstreamStatement statement) {
+  private void learnShare(Host host, UpstreamName upstream, UpstreamFeedback statement) {
     if (way == Way.AT_THE_OWNER || statement.requestsPerSecond().isEmpty()) {
       host.shares.remove(upstream);
       return;
@@ -370,10 +370,10 @@
     if (host.dead) {
       return;
     }
-    UpstreamStatement statement = statements.apply(upstream);
+    UpstreamFeedback statement = statements.apply(upstream);
     host.conditions.heard(definitionOf(upstream).incarnation(), statement, events.now());
     learnShare(host, upstream, statement);
-    if (!statement.equals(UpstreamStatement.NOTHING)) {
+    if (!statement.equals(UpstreamFeedback.NOTHING)) {
       toldAt.computeIfAbsent(upstream, name -> new HashMap<>()).putIfAbsent(host.id, events.now());
     }
     if (statement.pauseMillis().isPresent()) {
--- a/core/src/test/java/org/marjoramsail/core/placement/OwnerConditionsTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/OwnerFeedbackTest.java
@@ -13,12 +13,12 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import org.marjoramsail.core.condition.StatedCondition;
 import org.marjoramsail.core.configuration.Configuration;
+import org.marjoramsail.core.feedback.RelayedFeedback;
 import org.marjoramsail.core.model.UpstreamName;
 
 /** What an owner does with what hosts tell it of its upstreams. */
-class OwnerConditionsTest {
+class OwnerFeedbackTest {
 
   private static final long FIRST_START = 1_000;
   private static final long NEXT_START = 2_000;
@@ -30,7 +30,7 @@
   /** A prefill engine in need is sent prompts as seldom as it says; the other one goes on. */
   @Test
   void aPrefillEngineThatNamesALimitReadsNoMoreThanThat() {
-    placer.stated(limit("prefill-0", FIRST_START, 2, 0), ENTRY, 0);
+    placer.acceptFeedback(limit("prefill-0", FIRST_START, 2, 0), ENTRY, 0);
 
     List<PlacementResult> results = place(0);
 
@@ -40,17 +40,17 @@
 
   @Test
   void aPromptReadWithoutAWordOfALimitEndsIt() {
-    placer.stated(limit("prefill-0", FIRST_START, 2, 0), ENTRY, 0);
+    placer.acceptFeedback(limit("prefill-0", FIRST_START, 2, 0), ENTRY, 0);
     place(100);
     List<String> read = granted(place(600));
-    assertThat(placer.takeConditionBeliefs()).hasSize(1);
+    assertThat(placer.takeAcceptedFeedback()).hasSize(1);
 
     for (String name : read) {
       placer.report(progress(name, 1, AttemptPhase.PREFILLED), 700);
     }
 
     assertThat(stateOf("prefill-0")).isNotEqualTo("limited");
-    assertThat(placer.takeConditionBeliefs())
+    assertThat(placer.takeAcceptedFeedback())
         .singleElement()
         .matches(belief -> belief.requestsPerSecond().isEmpty());
   }
@@ -60,27 +60,27 @@
    */
   @Test
   void anOldWordOfALimitDoesNotBringItBack() {
-    placer.stated(limit("decode-0", FIRST_START, 2, 0), ENTRY, 0);
+    placer.acceptFeedback(limit("decode-0", FIRST_START, 2, 0), ENTRY, 0);
     for (String name : granted(place(1_000))) {
       placer.report(ended(name, 1, AttemptResult.COMPLETED), 1_500);
     }
     assertThat(stateOf("decode-0")).isNotEqualTo("limited");
 
-    placer.stated(limit("decode-0", FIRST_START, 2, 1_900), ENTRY, 2_000);
+    placer.acceptFeedback(limit("decode-0", FIRST_START, 2, 1_900), ENTRY, 2_000);
 
     assertThat(stateOf("decode-0")).isNotEqualTo("limited");
   }
 
   @Test
   void whatALifeSaidOfItselfEndsWithIt() {
-    placer.stated(leaving("decode-0", FIRST_START), ENTRY, 0);
-    placer.stated(limit("decode-1", FIRST_START, 2, 0), ENTRY, 0);
+    placer.acceptFeedback(leaving("decode-0", FIRST_START), ENTRY, 0);
+    placer.acceptFeedback(limit("decode-1", FIRST_START, 2, 0), ENTRY, 0);
     assertThat(stateOf("decode-0")).isEqualTo("leaving");
     assertThat(stateOf("decode-1")).isEqualTo("limited");
 
     placer.configure(startedAt(engines, NEXT_START), 100);
-    placer.stated(leaving("decode-0", FIRST_START), ENTRY, 200);
-    placer.stated(limit("decode-1", FIRST_START, 2, 150), ENTRY, 200);
+    placer.acceptFeedback(leaving("decode-0", FIRST_START), ENTRY, 200);
+    placer.acceptFeedback(limit("decode-1", FIRST_START, 2, 150), ENTRY, 200);
 
     assertThat(stateOf("decode-0")).isEqualTo("slow-start");
     assertThat(stateOf("decode-1")).isEqualTo("slow-start");
@@ -111,13 +111,13 @@
         .orElseThrow();
   }
 
-  private static StatedCondition limit(
+  private static RelayedFeedback limit(
       String upstream, long startedAt, double perSecond, long ageMillis) {
-    return new StatedCondition(
+    return new RelayedFeedback(
         new UpstreamName(upstream), startedAt, Optional.of(perSecond), false, ageMillis);
   }
 
-  private static StatedCondition leaving(String upstream, long startedAt) {
-    return new StatedCondition(new UpstreamName(upstream), startedAt, Optional.empty(), true, 0);
+  private static RelayedFeedback leaving(String upstream, long startedAt) {
+    return new RelayedFeedback(new UpstreamName(upstream), startedAt, Optional.empty(), true, 0);
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/placement/SoftOwnershipFuzzTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/SoftOwnershipFuzzTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.marjoramsail.core.condition.UpstreamConditions;
+import org.marjoramsail.core.feedback.UpstreamFeedbackTable;
 import org.marjoramsail.core.model.DaemonId;
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.model.ServiceClass;
@@ -59,7 +59,7 @@
                 id,
                 PlacementTimings.standard(),
                 shard -> List.copyOf(ranking),
-                new UpstreamConditions()));
+                new UpstreamFeedbackTable()));
       }
       ranking = new ArrayList<>(alive);
     }
--- a/core/src/test/java/org/marjoramsail/core/placement/StatedLeavingTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/StatedLeavingTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.marjoramsail.core.condition.UpstreamStatement;
+import org.marjoramsail.core.feedback.UpstreamFeedback;
 import org.marjoramsail.core.model.UpstreamName;
 import org.marjoramsail.core.placement.HostsBeforeUpstreams.Arrival;
 import org.marjoramsail.core.placement.HostsBeforeUpstreams.End;
@@ -32,8 +32,8 @@
   /** How long after its word an upstream may still get work of a host that passed it on. */
   private static final long DRAIN_MILLIS = 2_000;
 
-  private static final UpstreamStatement LEAVES =
-      new UpstreamStatement(Optional.empty(), true, Optional.empty(), 0);
+  private static final UpstreamFeedback LEAVES =
+      new UpstreamFeedback(Optional.empty(), true, Optional.empty(), 0);
 
   @ParameterizedTest
   @CsvSource({"7, 3, 1, 1", "7, 3, 2, 2", "77, 12, 3, 1", "390, 40, 8, 1"})
@@ -82,7 +82,7 @@
         name ->
             name.equals(first) && fleet.events().now() > 4_000 && fleet.events().now() < 4_200
                 ? LEAVES
-                : UpstreamStatement.NOTHING);
+                : UpstreamFeedback.NOTHING);
     fleet.load(30, 0, LENGTH_MILLIS);
 
     fleet.run(LENGTH_MILLIS);
@@ -114,7 +114,7 @@
         name ->
             fleet.events().now() >= LEAVES_AT_MILLIS && fleet.upstreams().indexOf(name) < leaving
                 ? LEAVES
-                : UpstreamStatement.NOTHING);
+                : UpstreamFeedback.NOTHING);
     fleet.load(10.0 * upstreams, 0, LENGTH_MILLIS);
     return fleet;
   }
--- a/core/src/test/java/org/marjoramsail/core/placement/StatedLimitTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/UpstreamRateLimitTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.marjoramsail.core.condition.UpstreamStatement;
+import org.marjoramsail.core.feedback.UpstreamFeedback;
 import org.marjoramsail.core.model.UpstreamName;
 import org.marjoramsail.core.placement.HostsBeforeUpstreams.Arrival;
 import org.marjoramsail.core.placement.HostsBeforeUpstreams.End;
@@ -27,7 +27,7 @@
  * before they named it, 9 and 6 two seconds later. Owners granted places by slots, and an upstream
  * in need answers quickly what it answers.
  */
-class StatedLimitTest {
+class UpstreamRateLimitTest {
 
   private static final long STATED_FROM_MILLIS = 4_000;
   private static final long LENGTH_MILLIS = 20_000;
@@ -143,7 +143,7 @@
     HostsBeforeUpstreams fleet =
         new HostsBeforeUpstreams(7, 3, SLOTS, WORK_MILLIS, 1, Way.AT_THE_OWNER);
     UpstreamName changing = fleet.upstreams().get(0);
-    fleet.saying(name -> name.equals(changing) ? changing(fleet) : UpstreamStatement.NOTHING);
+    fleet.saying(name -> name.equals(changing) ? changing(fleet) : UpstreamFeedback.NOTHING);
     fleet.load(3 * LOAD_OF_UPSTREAM, 0, LENGTH_MILLIS);
 
     fleet.run(LENGTH_MILLIS);
@@ -162,7 +162,7 @@
         name ->
             name.equals(first) && fleet.events().now() < 12_000
                 ? limit(0)
-                : UpstreamStatement.NOTHING);
+                : UpstreamFeedback.NOTHING);
     fleet.load(3 * LOAD_OF_UPSTREAM, 0, 24_000);
 
     fleet.run(24_000);
@@ -186,7 +186,7 @@
     assertThat(refused).isNotEmpty();
     assertThat(refused).allMatch(end -> end.retryAfter().orElse(0L) > 0);
     assertThat(refused).allMatch(end -> end.endedAtMillis() - end.askedAtMillis() <= 1_500);
-    assertThat(refused.stream().filter(StatedLimitTest::isToldInTime).count())
+    assertThat(refused.stream().filter(UpstreamRateLimitTest::isToldInTime).count())
         .isGreaterThan(refused.size() * 9L / 10);
   }
 
@@ -199,7 +199,7 @@
         name ->
             fleet.events().now() >= STATED_FROM_MILLIS && fleet.upstreams().indexOf(name) < limited
                 ? limit(limitOf(fleet, name))
-                : UpstreamStatement.NOTHING);
+                : UpstreamFeedback.NOTHING);
     fleet.load(LOAD_OF_UPSTREAM * upstreams, 0, LENGTH_MILLIS);
     return fleet;
   }
@@ -208,14 +208,14 @@
     return fleet.upstreams().indexOf(name) % 2 == 0 ? 4.1 : 3.5;
   }
 
-  private static UpstreamStatement limit(double perSecond) {
-    return new UpstreamStatement(Optional.of(perSecond), false, Optional.empty(), 0);
+  private static UpstreamFeedback limit(double perSecond) {
+    return new UpstreamFeedback(Optional.of(perSecond), false, Optional.empty(), 0);
   }
 
-  private static UpstreamStatement changing(HostsBeforeUpstreams fleet) {
+  private static UpstreamFeedback changing(HostsBeforeUpstreams fleet) {
     long now = fleet.events().now();
     if (now < STATED_FROM_MILLIS || now >= 13_000) {
-      return UpstreamStatement.NOTHING;
+      return UpstreamFeedback.NOTHING;
     }
     return limit(now < 8_000 ? 6 : 2);
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/assembly/DaemonRuntime.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/assembly/DaemonRuntime.java
@@ -18,8 +18,8 @@
 import java.util.function.Consumer;
 import org.marjoramsail.core.claim.ClaimMessage;
 import org.marjoramsail.core.claim.ClaimSettings;
-import org.marjoramsail.core.condition.UpstreamConditions;
 import org.marjoramsail.core.configuration.Configuration;
+import org.marjoramsail.core.feedback.UpstreamFeedbackTable;
 import org.marjoramsail.core.membership.Member;
 import org.marjoramsail.core.membership.MemberState;
 import org.marjoramsail.core.membership.MembershipSettings;
@@ -189,7 +189,7 @@
         PlacementTimings.standard(),
         clock,
         meters,
-        new UpstreamConditions());
+        new UpstreamFeedbackTable());
   }
 
   /** Starts all parts; done once callers are served. */
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
@@ -201,7 +201,7 @@
       UpstreamName upstream, int attempt, Consumer<LifecycleEvent> events) {
     Optional<UpstreamDefinition> listed =
         peers.upstreams().apply(upstream).filter(found -> !found.drained());
-    Optional<UpstreamDefinition> accepting = listed.filter(peers.statements()::isAccepting);
+    Optional<UpstreamDefinition> accepting = listed.filter(peers.feedback()::isAccepting);
     if (accepting.isPresent()) {
       used.put(upstream, accepting.get());
     } else {
@@ -286,7 +286,7 @@
     /** What another upstream says that has this address now is not said by the one meant. */
     void hearStatement(Verdict verdict, int status, MultiMap headers) {
       if (verdict != Verdict.GONE) {
-        peers.statements().heard(upstream, peers.protocol().statementOf(status, headers));
+        peers.feedback().heard(upstream, peers.protocol().feedbackOf(status, headers));
       }
     }
 
@@ -448,7 +448,7 @@
 
     @Override
     public boolean head(int status, MultiMap headers) {
-      peers.statements().heard(holder, peers.protocol().statementOf(status, headers));
+      peers.feedback().heard(holder, peers.protocol().feedbackOf(status, headers));
       return true;
     }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardPeers.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardPeers.java
@@ -15,7 +15,7 @@
  * @param upstreams finds upstreams by name
  * @param handleMillis how long KV caches of a service live, in milliseconds
  * @param aliveness hears signs of life
- * @param statements hears what upstreams say of themselves
+ * @param feedback hears what upstreams say of themselves
  * @param completions hears how long streams are
  * @param answerTimes hears how long plain answers of a service take, in milliseconds
  * @param closing marks answers while this daemon stops
@@ -28,7 +28,7 @@
     Function<UpstreamName, Optional<UpstreamDefinition>> upstreams,
     Function<String, Long> handleMillis,
     Aliveness aliveness,
-    UpstreamStatements statements,
+    UpstreamFeedbackRecorder feedback,
     Completions completions,
     ObjLongConsumer<String> answerTimes,
     ClosingMark closing,
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -79,7 +79,7 @@
             peers.upstreams(),
             peers.handleMillis(),
             peers.aliveness(),
-            peers.statements(),
+            peers.feedback(),
             this::learn,
             answerTimes::learn,
             closing,
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServerPeers.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServerPeers.java
@@ -25,7 +25,7 @@
  * @param handleMillis how long KV caches of a service live, in milliseconds
  * @param tokensPerEvent how many tokens an event of a service's streams carries
  * @param aliveness hears signs of life
- * @param statements hears what upstreams say of themselves
+ * @param feedback hears what upstreams say of themselves
  * @param forecast foretells how long answers will be
  * @param refused hears of requests that are refused before they are registered
  * @param clock tells the time
@@ -40,7 +40,7 @@
     Function<String, Long> handleMillis,
     Function<String, Integer> tokensPerEvent,
     Aliveness aliveness,
-    UpstreamStatements statements,
+    UpstreamFeedbackRecorder feedback,
     OutputForecast forecast,
     Consumer<Refusal> refused,
     Clock clock,
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingProtocol.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingProtocol.java
@@ -3,7 +3,7 @@
 import io.vertx.core.MultiMap;
 import io.vertx.core.buffer.Buffer;
 import java.util.Optional;
-import org.marjoramsail.core.condition.UpstreamStatement;
+import org.marjoramsail.core.feedback.UpstreamFeedback;
 
 /**
  * Names of headers, calls and fields between callers, this program and upstreams. It only
@@ -32,7 +32,7 @@
   Verdict verdictOf(int status, MultiMap headers, String attempt, boolean prefill);
 
   /** What an upstream says of itself in the head of an answer, whatever else that answers. */
-  UpstreamStatement statementOf(int status, MultiMap upstreamHeaders);
+  UpstreamFeedback feedbackOf(int status, MultiMap upstreamHeaders);
 
   /** The handle of a KV cache, from the body of the answer to a prefill; empty if there is none. */
   Optional<PrefilledPrompt> prefilled(Buffer body);
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamStatements.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamFeedbackRecorder.java
@@ -5,10 +5,10 @@
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.Set;
-import org.marjoramsail.core.condition.ConditionChange;
-import org.marjoramsail.core.condition.UpstreamConditions;
-import org.marjoramsail.core.condition.UpstreamStatement;
 import org.marjoramsail.core.configuration.UpstreamDefinition;
+import org.marjoramsail.core.feedback.FeedbackChange;
+import org.marjoramsail.core.feedback.UpstreamFeedback;
+import org.marjoramsail.core.feedback.UpstreamFeedbackTable;
 import org.marjoramsail.core.time.Clock;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -17,16 +17,16 @@
  * Hears what upstreams say of themselves, shows operators what this host believes since, and has it
  * kept at each send.
  */
-public final class UpstreamStatements {
+public final class UpstreamFeedbackRecorder {
 
-  private static final Logger LOG = LoggerFactory.getLogger(UpstreamStatements.class);
+  private static final Logger LOG = LoggerFactory.getLogger(UpstreamFeedbackRecorder.class);
 
   /** A limit that moves a little with each answer is no change of state. */
-  private static final Set<ConditionChange> NOT_LOGGED = Set.of(ConditionChange.LIMIT_CHANGED);
+  private static final Set<FeedbackChange> NOT_LOGGED = Set.of(FeedbackChange.LIMIT_CHANGED);
 
-  private final UpstreamConditions conditions;
+  private final UpstreamFeedbackTable conditions;
   private final Clock clock;
-  private final Map<ConditionChange, Counter> counters = new EnumMap<>(ConditionChange.class);
+  private final Map<FeedbackChange, Counter> counters = new EnumMap<>(FeedbackChange.class);
 
   /**
    * Creates an instance with what it works with.
@@ -34,10 +34,11 @@
    * @param conditions what is believed
    * @param meters shows how often beliefs change and how many upstreams they are about
    */
-  public UpstreamStatements(UpstreamConditions conditions, Clock clock, MeterRegistry meters) {
+  public UpstreamFeedbackRecorder(
+      UpstreamFeedbackTable conditions, Clock clock, MeterRegistry meters) {
     this.conditions = conditions;
     this.clock = clock;
-    for (ConditionChange change : ConditionChange.values()) {
+    for (FeedbackChange change : FeedbackChange.values()) {
       counters.put(
           change, meters.counter("marjoramsail.upstream.statements", "change", change.code()));
     }
@@ -49,10 +50,10 @@
   }
 
   /** Handles what the head of an answer says of the upstream that gave it. */
-  public void heard(UpstreamDefinition upstream, UpstreamStatement statement) {
-    Set<ConditionChange> changes =
+  public void heard(UpstreamDefinition upstream, UpstreamFeedback statement) {
+    Set<FeedbackChange> changes =
         conditions.heard(upstream.incarnation(), statement, clock.millis());
-    for (ConditionChange change : changes) {
+    for (FeedbackChange change : changes) {
       counters.get(change).increment();
       if (!NOT_LOGGED.contains(change)) {
         log(upstream, statement, change);
@@ -66,7 +67,7 @@
   }
 
   private static void log(
-      UpstreamDefinition upstream, UpstreamStatement statement, ConditionChange change) {
+      UpstreamDefinition upstream, UpstreamFeedback statement, FeedbackChange change) {
     LOG.atInfo()
         .addKeyValue("upstream", upstream.incarnation())
         .addKeyValue("service", upstream.service())
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/DistributedPlacement.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/DistributedPlacement.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 import java.util.function.ObjLongConsumer;
-import org.marjoramsail.core.condition.UpstreamConditions;
 import org.marjoramsail.core.configuration.Configuration;
 import org.marjoramsail.core.configuration.UpstreamDefinition;
 import org.marjoramsail.core.failure.Refusal;
 import org.marjoramsail.core.failure.RefusalReason;
+import org.marjoramsail.core.feedback.UpstreamFeedbackTable;
 import org.marjoramsail.core.membership.Member;
 import org.marjoramsail.core.membership.MembershipView;
 import org.marjoramsail.core.message.PeerTransport;
@@ -82,7 +82,7 @@
       PlacementTimings timings,
       Clock clock,
       MeterRegistry meters,
-      UpstreamConditions conditions) {
+      UpstreamFeedbackTable conditions) {
     this.self = self;
     this.choice = choice;
     this.transport = transport;
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShard.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShard.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.marjoramsail.core.model.DaemonId;
-import org.marjoramsail.core.placement.ConditionBelief;
+import org.marjoramsail.core.placement.AcceptedFeedback;
 import org.marjoramsail.core.placement.OrganisationUsageMessage;
 import org.marjoramsail.core.placement.PlacementMessage;
 import org.marjoramsail.core.placement.PlacerEvent;
@@ -58,8 +58,8 @@
     return ledger.usage(nowMillis);
   }
 
-  synchronized List<ConditionBelief> takeConditionBeliefs() {
-    return ledger.takeConditionBeliefs();
+  synchronized List<AcceptedFeedback> takeAcceptedFeedback() {
+    return ledger.takeAcceptedFeedback();
   }
 
   synchronized boolean isEmpty() {
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShards.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShards.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 import org.marjoramsail.core.model.DaemonId;
-import org.marjoramsail.core.placement.ConditionBelief;
+import org.marjoramsail.core.placement.AcceptedFeedback;
 import org.marjoramsail.core.placement.OrganisationUsageMessage;
 import org.marjoramsail.core.placement.PlacementMessage;
 import org.marjoramsail.core.placement.PlacementTimings;
@@ -142,7 +142,7 @@
   }
 
   private static void log(OwnedShard shard) {
-    for (ConditionBelief belief : shard.takeConditionBeliefs()) {
+    for (AcceptedFeedback belief : shard.takeAcceptedFeedback()) {
       LOG.atInfo()
           .addKeyValue("shard", shard.shard())
           .addKeyValue("upstream", belief.upstream())
--- a/daemon/src/test/java/org/marjoramsail/daemon/placement/IdleShardTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/placement/IdleShardTest.java
@@ -8,11 +8,11 @@
 import java.util.Optional;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import org.marjoramsail.core.condition.UpstreamConditions;
 import org.marjoramsail.core.configuration.Configuration;
 import org.marjoramsail.core.configuration.ServiceDefinition;
 import org.marjoramsail.core.configuration.ServiceKind;
 import org.marjoramsail.core.configuration.UpstreamDefinition;
+import org.marjoramsail.core.feedback.UpstreamFeedbackTable;
 import org.marjoramsail.core.membership.Member;
 import org.marjoramsail.core.membership.MemberState;
 import org.marjoramsail.core.membership.MembershipView;
@@ -74,7 +74,7 @@
             PlacementTimings.standard(),
             clock,
             new SimpleMeterRegistry(),
-            new UpstreamConditions());
+            new UpstreamFeedbackTable());
     placement.members(new MembershipView(self, List.of(member("entry-1"), member("entry-2"))));
     placement.configure(configuration());
     return placement;
--- a/daemon/src/test/java/org/marjoramsail/daemon/placement/PlacementMessageFormatTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/placement/PlacementMessageFormatTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.marjoramsail.core.condition.StatedCondition;
 import org.marjoramsail.core.failure.Refusal;
 import org.marjoramsail.core.failure.RefusalReason;
+import org.marjoramsail.core.feedback.RelayedFeedback;
 import org.marjoramsail.core.model.DaemonId;
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.model.ServiceClass;
@@ -34,8 +34,8 @@
   private static final ShardId SHARD = new ShardId("asistente-concejo", "santiago", 3);
   private static final RequestId REQUEST = new RequestId("entry-1-1-000123456");
 
-  private static final StatedCondition LIMITED =
-      new StatedCondition(
+  private static final RelayedFeedback LIMITED =
+      new RelayedFeedback(
           new UpstreamName("asistente-concejo-d-2"),
           1_764_700_000_000L,
           Optional.of(4.1),
