--- a/daemon/src/main/java/org/marjoramsail/daemon/assembly/RequestParts.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/assembly/RequestParts.java
@@ -16,16 +16,16 @@
 import org.marjoramsail.core.placement.PlacementService;
 import org.marjoramsail.core.time.Clock;
 import org.marjoramsail.daemon.caller.CallerBinding;
+import org.marjoramsail.daemon.caller.CallerDependencies;
 import org.marjoramsail.daemon.caller.CallerLimits;
-import org.marjoramsail.daemon.caller.CallerPeers;
 import org.marjoramsail.daemon.caller.CallerServer;
 import org.marjoramsail.daemon.metrics.RequestMetrics;
 import org.marjoramsail.daemon.request.ClaimGate;
 import org.marjoramsail.daemon.request.OutcomeRules;
+import org.marjoramsail.daemon.request.RequestDependencies;
 import org.marjoramsail.daemon.request.RequestLog;
-import org.marjoramsail.daemon.request.RequestPeers;
 import org.marjoramsail.daemon.request.RequestRegistry;
-import org.marjoramsail.daemon.request.UpstreamPeers;
+import org.marjoramsail.daemon.request.UpstreamClients;
 import org.marjoramsail.daemon.settings.Endpoint;
 import org.marjoramsail.daemon.settings.LimitSettings;
 import org.marjoramsail.daemon.settings.Settings;
@@ -57,7 +57,7 @@
     this.metrics = new RequestMetrics(meters, invariants);
     this.registry =
         new RequestRegistry(
-            new RequestPeers(placement, claims),
+            new RequestDependencies(placement, claims),
             new OutcomeRules(quarantine, invariants, () -> new RetryBudget(RETRY_RESERVE)),
             metrics,
             new RequestLog(() -> "configuration " + configuration.get().revision()),
@@ -70,7 +70,7 @@
             vertx,
             new CallerBinding(listen.address(), listen.port(), settings.limits().threads()),
             callerLimits(settings.limits()),
-            new CallerPeers(
+            new CallerDependencies(
                 self,
                 configuration,
                 registry,
@@ -78,7 +78,7 @@
                 clock,
                 json,
                 LifecyclePolicy.defaults(),
-                new UpstreamPeers(
+                new UpstreamClients(
                     upstreams.engines, upstreams.plainServices, upstreams.directory, probe)));
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerPeers.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerDependencies.java
@@ -8,7 +8,7 @@
 import org.marjoramsail.core.time.Clock;
 import org.marjoramsail.daemon.metrics.RequestMetrics;
 import org.marjoramsail.daemon.request.RequestRegistry;
-import org.marjoramsail.daemon.request.UpstreamPeers;
+import org.marjoramsail.daemon.request.UpstreamClients;
 
 /**
  * What the caller side needs of the rest of the daemon.
@@ -22,7 +22,7 @@
  * @param policy bounds of the tries and waits of a request
  * @param upstreams calls upstreams
  */
-public record CallerPeers(
+public record CallerDependencies(
     DaemonId daemon,
     Supplier<Configuration> configuration,
     RequestRegistry registry,
@@ -30,4 +30,4 @@
     Clock clock,
     ObjectMapper json,
     LifecyclePolicy policy,
-    UpstreamPeers upstreams) {}
+    UpstreamClients upstreams) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHandler.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHandler.java
@@ -22,7 +22,7 @@
 final class CallerHandler {
 
   private final Vertx vertx;
-  private final CallerPeers peers;
+  private final CallerDependencies dependencies;
   private final CallerLimits limits;
   private final RequestIds ids;
   private final Authenticator authenticator = new Authenticator();
@@ -31,21 +31,21 @@
   private final RequestFactory factory;
   private final ProblemWriter problems;
 
-  CallerHandler(Vertx vertx, CallerPeers peers, CallerLimits limits, RequestIds ids) {
+  CallerHandler(Vertx vertx, CallerDependencies dependencies, CallerLimits limits, RequestIds ids) {
     this.vertx = vertx;
-    this.peers = peers;
+    this.dependencies = dependencies;
     this.limits = limits;
     this.ids = ids;
     this.bodies = new BodyReader(vertx, limits);
-    this.parser = new CompletionParser(peers.json(), limits);
-    this.factory = new RequestFactory(peers);
-    this.problems = new ProblemWriter(peers.json());
+    this.parser = new CompletionParser(dependencies.json(), limits);
+    this.factory = new RequestFactory(dependencies);
+    this.problems = new ProblemWriter(dependencies.json());
   }
 
   /** Serves a request. */
   void handle(HttpServerRequest request) {
     RequestId id = ids.next();
-    long receivedAtMillis = peers.clock().millis();
+    long receivedAtMillis = dependencies.clock().millis();
     request.response().putHeader("marjoramsail-request", id.value());
     request.response().exceptionHandler(ignored -> {});
     try {
@@ -80,7 +80,7 @@
   }
 
   private Configuration newestConfiguration() throws RejectedRequestException {
-    Configuration configuration = peers.configuration().get();
+    Configuration configuration = dependencies.configuration().get();
     if (configuration.revision() == 0) {
       throw new RejectedRequestException(
           RefusalReason.NO_CONFIGURATION, "This daemon has not yet heard of a configuration.");
@@ -119,12 +119,12 @@
                 id,
                 route.format(),
                 call.service(),
-                peers.json(),
+                dependencies.json(),
                 problems,
                 limits,
                 refusal -> handle.get().end(refusal))
             : new WholeAnswerSink(
-                response, id, route.format(), call.service(), peers.json(), problems);
+                response, id, route.format(), call.service(), dependencies.json(), problems);
     handle.set(submit(request, prepared, sink));
   }
 
@@ -135,7 +135,7 @@
             prepared.profile().id(),
             CompletionFormat.COMPLETION,
             prepared.profile().service(),
-            peers.json(),
+            dependencies.json(),
             problems);
     submit(request, prepared, sink);
   }
@@ -144,14 +144,14 @@
       HttpServerRequest request, RequestFactory.Prepared prepared, CallerSink sink) {
     Context context = vertx.getOrCreateContext();
     RequestHandle handle =
-        peers
+        dependencies
             .registry()
             .register(
                 new NewRequest(
                     prepared.profile(),
-                    peers.policy(),
+                    dependencies.policy(),
                     new CompletionSender(
-                        prepared.profile(), prepared.content(), sink, peers.upstreams()),
+                        prepared.profile(), prepared.content(), sink, dependencies.upstreams()),
                     prepared.claim(),
                     prepared.rule().perTokenTargetMillis(),
                     new Timeliness(
@@ -186,7 +186,7 @@
   /** Refuses; what is left of a body is not read, so that its connection cannot be used again. */
   private void reject(HttpServerRequest request, RequestId id, Refusal found, boolean closing) {
     Refusal refusal = truthful(request, found);
-    peers.metrics().refused(refusal);
+    dependencies.metrics().refused(refusal);
     HttpServerResponse response = request.response();
     if (closing) {
       response.putHeader("connection", "close");
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerServer.java
@@ -28,7 +28,7 @@
   private final Vertx vertx;
   private final CallerBinding binding;
   private final CallerLimits limits;
-  private final CallerPeers peers;
+  private final CallerDependencies dependencies;
   private final CallerHandler handler;
   private final ConnectionGuard connections;
   private final AtomicInteger port = new AtomicInteger();
@@ -41,14 +41,16 @@
    * @param vertx runs the event loops
    * @param binding where to listen
    * @param limits what callers may cost
-   * @param peers the rest of the daemon
+   * @param dependencies the rest of the daemon
    */
-  public CallerServer(Vertx vertx, CallerBinding binding, CallerLimits limits, CallerPeers peers) {
+  public CallerServer(
+      Vertx vertx, CallerBinding binding, CallerLimits limits, CallerDependencies dependencies) {
     this.vertx = vertx;
     this.binding = binding;
     this.limits = limits;
-    this.peers = peers;
-    this.handler = new CallerHandler(vertx, peers, limits, new RequestIds(peers.daemon()));
+    this.dependencies = dependencies;
+    this.handler =
+        new CallerHandler(vertx, dependencies, limits, new RequestIds(dependencies.daemon()));
     this.connections = new ConnectionGuard(vertx, limits);
   }
 
@@ -91,14 +93,14 @@
         Math.max(1, notReadyMillis),
         waited -> {
           enter(StopPhase.FINISHING);
-          finish(peers.clock().millis() + finishWithinMillis, closed);
+          finish(dependencies.clock().millis() + finishWithinMillis, closed);
         });
     return closed.future();
   }
 
   private void finish(long untilMillis, Promise<Integer> closed) {
-    int running = peers.registry().size();
-    if (running > 0 && peers.clock().millis() < untilMillis) {
+    int running = dependencies.registry().size();
+    if (running > 0 && dependencies.clock().millis() < untilMillis) {
       vertx.setTimer(FINISH_CHECK_MILLIS, waited -> finish(untilMillis, closed));
       return;
     }
@@ -115,7 +117,7 @@
     phase = next;
     LOG.atInfo()
         .addKeyValue("phase", next.code())
-        .addKeyValue("running", peers.registry().size())
+        .addKeyValue("running", dependencies.registry().size())
         .log("stopping");
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/RequestFactory.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/RequestFactory.java
@@ -52,10 +52,10 @@
       OrganisationDefinition organisation,
       CallerHeaders headers) {}
 
-  private final CallerPeers peers;
+  private final CallerDependencies dependencies;
 
-  RequestFactory(CallerPeers peers) {
-    this.peers = peers;
+  RequestFactory(CallerDependencies dependencies) {
+    this.dependencies = dependencies;
   }
 
   Prepared generation(Arrival arrival, CompletionFormat format, CompletionCall call)
@@ -103,7 +103,7 @@
     RequestProfile profile =
         new RequestProfile(
             arrival.id(),
-            peers.daemon(),
+            dependencies.daemon(),
             service.name(),
             arrival.organisation().name(),
             rule.name(),
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardPeers.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardDependencies.java
@@ -22,7 +22,7 @@
  * @param refusals writes answers of this program
  * @param clock tells the time
  */
-record ForwardPeers(
+record ForwardDependencies(
     ForwardingProtocol protocol,
     UpstreamConnections connections,
     Function<UpstreamName, Optional<UpstreamDefinition>> upstreams,
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
@@ -36,7 +36,7 @@
 
   private record Head(int status, MultiMap headers) {}
 
-  private final ForwardPeers peers;
+  private final ForwardDependencies dependencies;
   private final ForwardedRequest request;
   private final RequestProfile profile;
   private final HttpServerRequest caller;
@@ -47,12 +47,12 @@
   private Optional<Head> streamHead = Optional.empty();
 
   ForwardExchange(
-      ForwardPeers peers,
+      ForwardDependencies dependencies,
       ForwardedRequest request,
       RequestProfile profile,
       HttpServerRequest caller,
       boolean streaming) {
-    this.peers = peers;
+    this.dependencies = dependencies;
     this.request = request;
     this.profile = profile;
     this.caller = caller;
@@ -119,7 +119,7 @@
     ForwardedRequest drop =
         new ForwardedRequest(
             HttpMethod.DELETE,
-            peers.protocol().handlePath(handle.handle()),
+            dependencies.protocol().handlePath(handle.handle()),
             "",
             headers,
             Buffer.buffer(),
@@ -128,8 +128,8 @@
             request.organisation());
     ForwardCall unused =
         new ForwardCall(
-                peers.connections(),
-                peers.protocol(),
+                dependencies.connections(),
+                dependencies.protocol(),
                 holder,
                 new DropListener(holder, () -> events.accept(confirmed)))
             .start(drop, headers);
@@ -151,7 +151,7 @@
       response.setStatusCode(head.status());
       response.headers().addAll(head.headers());
       response.setChunked(true);
-      peers.closing().mark(response);
+      dependencies.closing().mark(response);
     }
     if (response.writeQueueFull()) {
       response.setWriteQueueMaxSize(MAXIMUM_ANSWER_BYTES);
@@ -172,10 +172,10 @@
             response.headers().addAll(head.headers());
           });
       response.setChunked(true);
-      peers.closing().mark(response);
+      dependencies.closing().mark(response);
     }
     response.end();
-    peers
+    dependencies
         .completions()
         .completed(profile, request.terms().outputTokens(), completion.outputTokens());
   }
@@ -188,20 +188,20 @@
     }
     response.setStatusCode(answer.status());
     response.headers().addAll(answer.headers());
-    peers.closing().mark(response);
+    dependencies.closing().mark(response);
     response.end(answer.body());
   }
 
   @Override
   public void refuse(Refusal refusal) {
-    peers.refusals().write(caller, request.terms().attempt(), refusal);
+    dependencies.refusals().write(caller, request.terms().attempt(), refusal);
   }
 
   private Optional<UpstreamDefinition> target(
       UpstreamName upstream, int attempt, Consumer<LifecycleEvent> events) {
     Optional<UpstreamDefinition> listed =
-        peers.upstreams().apply(upstream).filter(found -> !found.drained());
-    Optional<UpstreamDefinition> accepting = listed.filter(peers.feedback()::isAccepting);
+        dependencies.upstreams().apply(upstream).filter(found -> !found.drained());
+    Optional<UpstreamDefinition> accepting = listed.filter(dependencies.feedback()::isAccepting);
     if (accepting.isPresent()) {
       used.put(upstream, accepting.get());
     } else {
@@ -225,19 +225,19 @@
       ForwardCall.Listener listener) {
     MultiMap headers = MultiMap.caseInsensitiveMultiMap().addAll(request.headers());
     headers.set("host", request.host());
-    long leftMillis = Math.max(1, profile.deadlineAtMillis() - peers.clock().millis());
-    peers
+    long leftMillis = Math.max(1, profile.deadlineAtMillis() - dependencies.clock().millis());
+    dependencies
         .protocol()
         .tell(
             headers,
             new SendTerms(
                 target.name(), leftMillis, prefill, kv, resumeAfter, request.organisation()));
-    return new ForwardCall(peers.connections(), peers.protocol(), target, listener)
+    return new ForwardCall(dependencies.connections(), dependencies.protocol(), target, listener)
         .start(request, headers);
   }
 
   private void heardOf(UpstreamDefinition upstream, long sentAtMillis) {
-    peers.aliveness().alive(upstream.incarnation(), sentAtMillis);
+    dependencies.aliveness().alive(upstream.incarnation(), sentAtMillis);
   }
 
   /** What the head of an answer that does not serve the request says of the attempt. */
@@ -255,7 +255,7 @@
     private final int attempt;
     private final UpstreamDefinition upstream;
     private final Consumer<LifecycleEvent> events;
-    private final long sentAtMillis = peers.clock().millis();
+    private final long sentAtMillis = dependencies.clock().millis();
 
     WholeListener(int attempt, UpstreamDefinition upstream, Consumer<LifecycleEvent> events) {
       this.attempt = attempt;
@@ -286,12 +286,14 @@
     /** What another upstream says that has this address now is not said by the one meant. */
     void hearStatement(Verdict verdict, int status, MultiMap headers) {
       if (verdict != Verdict.GONE) {
-        peers.feedback().heard(upstream, peers.protocol().feedbackOf(status, headers));
+        dependencies
+            .feedback()
+            .heard(upstream, dependencies.protocol().feedbackOf(status, headers));
       }
     }
 
     long tookMillis() {
-      return peers.clock().millis() - sentAtMillis;
+      return dependencies.clock().millis() - sentAtMillis;
     }
 
     @Override
@@ -302,7 +304,7 @@
     @Override
     public void failed(UpstreamFailure failure) {
       if (failure == UpstreamFailure.CONNECT_FAILED) {
-        peers.aliveness().refuses(upstream.name());
+        dependencies.aliveness().refuses(upstream.name());
       }
       tell(new LifecycleEvent.UpstreamFailed(attempt, upstream.name(), failure));
     }
@@ -321,7 +323,7 @@
     @Override
     public boolean head(int status, MultiMap headers) {
       alive();
-      verdict = peers.protocol().verdictOf(status, headers, request.terms().attempt(), true);
+      verdict = dependencies.protocol().verdictOf(status, headers, request.terms().attempt(), true);
       if (verdict == Verdict.FOREIGN) {
         failed(UpstreamFailure.MALFORMED);
         return false;
@@ -333,7 +335,7 @@
     @Override
     public void end() {
       Optional<PrefilledPrompt> prefilled =
-          verdict == Verdict.SERVED ? peers.protocol().prefilled(body()) : Optional.empty();
+          verdict == Verdict.SERVED ? dependencies.protocol().prefilled(body()) : Optional.empty();
       if (prefilled.isEmpty()) {
         failed(failureOf(verdict));
         return;
@@ -348,7 +350,7 @@
               prefilled.get().tokens(),
               0,
               tookMillis(),
-              peers.handleMillis().apply(upstream().service())));
+              dependencies.handleMillis().apply(upstream().service())));
     }
   }
 
@@ -365,13 +367,14 @@
     @Override
     public boolean head(int status, MultiMap headers) {
       alive();
-      verdict = peers.protocol().verdictOf(status, headers, request.terms().attempt(), false);
+      verdict =
+          dependencies.protocol().verdictOf(status, headers, request.terms().attempt(), false);
       if (verdict == Verdict.FOREIGN) {
         failed(UpstreamFailure.MALFORMED);
         return false;
       }
       hearStatement(verdict, status, headers);
-      head = new Head(status, peers.protocol().returned(headers));
+      head = new Head(status, dependencies.protocol().returned(headers));
       return true;
     }
 
@@ -424,7 +427,7 @@
     private void endWhole() {
       answers.put(attempt(), new PlainAnswer(head.status(), head.headers(), body()));
       if (!streaming) {
-        peers.answerTimes().accept(upstream().service(), tookMillis());
+        dependencies.answerTimes().accept(upstream().service(), tookMillis());
       }
       if (verdict == Verdict.SERVED && !streaming) {
         tell(new LifecycleEvent.PlainAnswered(attempt()));
@@ -448,7 +451,7 @@
 
     @Override
     public boolean head(int status, MultiMap headers) {
-      peers.feedback().heard(holder, peers.protocol().feedbackOf(status, headers));
+      dependencies.feedback().heard(holder, dependencies.protocol().feedbackOf(status, headers));
       return true;
     }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -49,8 +49,8 @@
   private static final int HEADER_SEPARATORS = 4;
 
   private final Vertx vertx;
-  private final ForwardServerPeers peers;
-  private final ForwardPeers exchangePeers;
+  private final ForwardServerDependencies dependencies;
+  private final ForwardDependencies exchangePeers;
   private final RefusalWriter refusals;
   private final AnswerTimes answerTimes = new AnswerTimes();
   private final Set<HttpConnection> connections = new HashSet<>();
@@ -64,27 +64,28 @@
    * Creates an instance with all that it needs; serves nobody yet.
    *
    * @param vertx runs the event loop
-   * @param peers the rest of the daemon
+   * @param dependencies the rest of the daemon
    * @param json writes answers of this program
    */
-  public ForwardServer(Vertx vertx, ForwardServerPeers peers, ObjectMapper json) {
+  public ForwardServer(Vertx vertx, ForwardServerDependencies dependencies, ObjectMapper json) {
     this.vertx = vertx;
-    this.peers = peers;
+    this.dependencies = dependencies;
     ClosingMark closing = new ClosingMark(() -> stopping);
-    this.refusals = new RefusalWriter(peers.protocol(), json, peers.random(), closing);
+    this.refusals =
+        new RefusalWriter(dependencies.protocol(), json, dependencies.random(), closing);
     this.exchangePeers =
-        new ForwardPeers(
-            peers.protocol(),
-            new UpstreamConnections(vertx, peers.clock()),
-            peers.upstreams(),
-            peers.handleMillis(),
-            peers.aliveness(),
-            peers.feedback(),
+        new ForwardDependencies(
+            dependencies.protocol(),
+            new UpstreamConnections(vertx, dependencies.clock()),
+            dependencies.upstreams(),
+            dependencies.handleMillis(),
+            dependencies.aliveness(),
+            dependencies.feedback(),
             this::learn,
             answerTimes::learn,
             closing,
             refusals,
-            peers.clock());
+            dependencies.clock());
   }
 
   /** Starts to serve; gives the port. */
@@ -145,17 +146,17 @@
   }
 
   private void take(HttpServerRequest request) {
-    long receivedAtMillis = peers.clock().millis();
+    long receivedAtMillis = dependencies.clock().millis();
     busy.add(request.connection());
     request.response().exceptionHandler(ignored -> {});
     request.response().endHandler(ended -> busy.remove(request.connection()));
-    CallerTerms terms = peers.protocol().termsOf(request.headers());
+    CallerTerms terms = dependencies.protocol().termsOf(request.headers());
     Optional<Refusal> refusal = refusalOf(request);
     if (refusal.isPresent()) {
       reject(request, terms, refusal.get());
       return;
     }
-    RoutingConfiguration routing = peers.routing().get().orElseThrow();
+    RoutingConfiguration routing = dependencies.routing().get().orElseThrow();
     Optional<Route> route = routing.routes().find(hostOf(request), request.path());
     if (route.isEmpty()) {
       Refusal unknown =
@@ -180,7 +181,7 @@
       return Optional.of(
           Refusal.notRun(RefusalReason.STOPPING, "This daemon takes nothing more.", 50));
     }
-    Optional<RoutingConfiguration> routing = peers.routing().get();
+    Optional<RoutingConfiguration> routing = dependencies.routing().get();
     if (routing.isEmpty()) {
       return Optional.of(
           Refusal.notRun(
@@ -261,7 +262,7 @@
             request.method(),
             request.uri(),
             hostOf(request),
-            peers.protocol().forwarded(request.headers()),
+            dependencies.protocol().forwarded(request.headers()),
             body,
             hasBody,
             arrival.terms(),
@@ -272,7 +273,7 @@
         new ForwardExchange(exchangePeers, forwarded, profile, request, streaming);
     Context context = vertx.getOrCreateContext();
     RequestHandle handle =
-        peers
+        dependencies
             .registry()
             .register(
                 new NewRequest(
@@ -295,11 +296,13 @@
     String service = route.serviceFor(Fingerprint.of(terms.attempt(), new byte[0]));
     int outputTokens =
         generation
-            ? peers.forecast().tokensOf(route.name(), terms.outputTokens(), terms.expectedTokens())
+            ? dependencies
+                .forecast()
+                .tokensOf(route.name(), terms.outputTokens(), terms.expectedTokens())
             : 0;
     return new RequestProfile(
-        new RequestId(terms.attempt() + "." + peers.daemon().host() + "." + sequence++),
-        peers.daemon(),
+        new RequestId(terms.attempt() + "." + dependencies.daemon().host() + "." + sequence++),
+        dependencies.daemon(),
         service,
         request.organisation().orElse(route.host()),
         route.name(),
@@ -314,7 +317,7 @@
         receivedAtMillis,
         ForwardingRules.targetAtMillis(route, receivedAtMillis),
         ForwardingRules.deadlineAtMillis(route, receivedAtMillis, terms.withinMillis()),
-        new Pieces(peers.tokensPerEvent().apply(service), route.gapTargetMillis()),
+        new Pieces(dependencies.tokensPerEvent().apply(service), route.gapTargetMillis()),
         arrival
             .organisation()
             .map(holder -> holder.countedTokens(terms.promptTokens(), terms.outputTokens()))
@@ -336,13 +339,13 @@
   }
 
   private void learn(RequestProfile profile, int mostTokens, int events) {
-    int tokens = events * peers.tokensPerEvent().apply(profile.service());
-    peers.forecast().learn(profile.rule(), mostTokens, tokens);
+    int tokens = events * dependencies.tokensPerEvent().apply(profile.service());
+    dependencies.forecast().learn(profile.rule(), mostTokens, tokens);
   }
 
   /** Refuses before the body is read; a connection with an unread body is not used again. */
   private void reject(HttpServerRequest request, CallerTerms terms, Refusal refusal) {
-    peers.refused().accept(refusal);
+    dependencies.refused().accept(refusal);
     boolean unread = !request.isEnded() && mayHaveBody(request);
     if (unread) {
       request.response().putHeader("connection", "close");
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServerPeers.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServerDependencies.java
@@ -31,7 +31,7 @@
  * @param clock tells the time
  * @param random spreads the return of callers
  */
-public record ForwardServerPeers(
+public record ForwardServerDependencies(
     DaemonId daemon,
     ForwardingProtocol protocol,
     Supplier<Optional<RoutingConfiguration>> routing,
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/ActionRunner.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/ActionRunner.java
@@ -19,7 +19,7 @@
   private final AttemptSender sender;
   private final Optional<ClaimRequest> claim;
   private final CallerSink sink;
-  private final RequestPeers peers;
+  private final RequestDependencies dependencies;
   private final RequestMeter meter;
   private final RequestProfile profile;
   private final RequestLog log;
@@ -30,7 +30,7 @@
       AttemptSender sender,
       Optional<ClaimRequest> claim,
       CallerSink sink,
-      RequestPeers peers,
+      RequestDependencies dependencies,
       RequestMetrics metrics,
       RequestLog log,
       Clock clock,
@@ -40,7 +40,7 @@
     this.sender = sender;
     this.claim = claim;
     this.sink = sink;
-    this.peers = peers;
+    this.dependencies = dependencies;
     this.meter = new RequestMeter(metrics, clock, profile, perTokenTargetMillis);
   }
 
@@ -68,15 +68,15 @@
 
   private boolean runPlacement(LifecycleAction action, Consumer<LifecycleEvent> events) {
     if (action instanceof LifecycleAction.Place place) {
-      peers.placement().place(place.request(), result -> placed(result, events));
+      dependencies.placement().place(place.request(), result -> placed(result, events));
     } else if (action instanceof LifecycleAction.Report report) {
-      peers.placement().report(report.report());
+      dependencies.placement().report(report.report());
     } else if (action instanceof LifecycleAction.Withdraw withdraw) {
-      peers.placement().withdraw(withdraw.request());
+      dependencies.placement().withdraw(withdraw.request());
     } else if (action instanceof LifecycleAction.RecordClaim) {
       recordClaim(events);
     } else if (action instanceof LifecycleAction.SettleClaim settle) {
-      claim.ifPresent(request -> peers.claims().settle(request, settle.outcome()));
+      claim.ifPresent(request -> dependencies.claims().settle(request, settle.outcome()));
     } else {
       return false;
     }
@@ -111,7 +111,7 @@
   }
 
   private void recordClaim(Consumer<LifecycleEvent> events) {
-    peers
+    dependencies
         .claims()
         .claim(claim.orElseThrow())
         .onSuccess(decision -> claimed(decision, events))
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/CompletionSender.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/CompletionSender.java
@@ -28,7 +28,7 @@
   private final RequestProfile profile;
   private final RequestContent content;
   private final CallerSink sink;
-  private final UpstreamPeers peers;
+  private final UpstreamClients clients;
   private final Map<UpstreamName, UpstreamEndpoint> endpoints = new HashMap<>(2);
   private volatile Optional<Answer> answer = Optional.empty();
 
@@ -38,14 +38,14 @@
    * @param profile what decisions know of it
    * @param content what upstreams get
    * @param sink where its answer goes
-   * @param peers the upstreams
+   * @param clients the upstreams
    */
   public CompletionSender(
-      RequestProfile profile, RequestContent content, CallerSink sink, UpstreamPeers peers) {
+      RequestProfile profile, RequestContent content, CallerSink sink, UpstreamClients clients) {
     this.profile = profile;
     this.content = content;
     this.sink = sink;
-    this.peers = peers;
+    this.clients = clients;
   }
 
   @Override
@@ -69,7 +69,7 @@
             generation.prompt());
     return endpoint.map(
         known ->
-            peers
+            clients
                 .engines()
                 .prefill(
                     known,
@@ -108,7 +108,7 @@
             send.kv().flatMap(this::location));
     return endpoint.map(
         known ->
-            peers
+            clients
                 .engines()
                 .decode(
                     known,
@@ -166,7 +166,7 @@
     return endpoint(send.upstream(), send.attempt(), events)
         .map(
             known ->
-                peers
+                clients
                     .plainServices()
                     .send(
                         known,
@@ -186,7 +186,7 @@
     Optional.ofNullable(endpoints.get(cancel.upstream()))
         .ifPresent(
             endpoint ->
-                peers
+                clients
                     .engines()
                     .cancel(endpoint, profile.id(), cancel.attempt())
                     .onSuccess(
@@ -198,7 +198,7 @@
 
   private Optional<UpstreamEndpoint> endpoint(
       UpstreamName upstream, int attempt, Consumer<LifecycleEvent> events) {
-    Optional<UpstreamEndpoint> known = peers.directory().endpoint(upstream);
+    Optional<UpstreamEndpoint> known = clients.directory().endpoint(upstream);
     known.ifPresentOrElse(
         endpoint -> endpoints.put(upstream, endpoint),
         () -> failed(attempt, upstream, UpstreamFailure.CONNECT_FAILED, events));
@@ -212,7 +212,7 @@
       Consumer<LifecycleEvent> events) {
     events.accept(new LifecycleEvent.UpstreamFailed(attempt, upstream, failure));
     if (failure.isCrashSign()) {
-      peers.directory().definition(upstream).ifPresent(peers.probe());
+      clients.directory().definition(upstream).ifPresent(clients.probe());
     }
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestPeers.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestDependencies.java
@@ -8,4 +8,4 @@
  * @param placement grants upstreams
  * @param claims records claims
  */
-public record RequestPeers(PlacementService placement, ClaimGate claims) {}
+public record RequestDependencies(PlacementService placement, ClaimGate claims) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
@@ -35,7 +35,7 @@
     private final Deque<RequestView> ended = new ArrayDeque<>();
   }
 
-  private final RequestPeers peers;
+  private final RequestDependencies dependencies;
   private final OutcomeRules rules;
   private final RequestMetrics metrics;
   private final RequestLog log;
@@ -48,7 +48,7 @@
   /**
    * Starts empty.
    *
-   * @param peers whom requests need
+   * @param dependencies whom requests need
    * @param rules what all requests share in their decisions
    * @param metrics what is counted
    * @param log what is written of requests
@@ -57,14 +57,14 @@
    * @param random for the jitter of back-off; safe for several threads
    */
   public RequestRegistry(
-      RequestPeers peers,
+      RequestDependencies dependencies,
       OutcomeRules rules,
       RequestMetrics metrics,
       RequestLog log,
       Clock clock,
       DelayedTasks timers,
       RandomGenerator random) {
-    this.peers = peers;
+    this.dependencies = dependencies;
     this.rules = rules;
     this.metrics = metrics;
     this.log = log;
@@ -104,7 +104,7 @@
             request.sender(),
             request.claim(),
             request.sink(),
-            peers,
+            dependencies,
             metrics,
             log,
             clock,
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/UpstreamPeers.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/UpstreamClients.java
@@ -14,7 +14,7 @@
  * @param directory finds upstreams
  * @param probe asks an upstream at once for its load, after a call to it was cut
  */
-public record UpstreamPeers(
+public record UpstreamClients(
     EngineClient engines,
     PlainClient plainServices,
     UpstreamDirectory directory,
