--- a/core/src/main/java/org/marjoramsail/core/discovery/ListingQuestion.java
+++ b/core/src/main/java/org/marjoramsail/core/discovery/ListingRequestMessage.java
@@ -8,4 +8,4 @@
  *
  * @param atMillis when it was asked, on the clock of the daemon that asks
  */
-public record ListingQuestion(long atMillis) implements PeerMessage {}
+public record ListingRequestMessage(long atMillis) implements PeerMessage {}
--- a/core/src/main/java/org/marjoramsail/core/discovery/ListingAnswer.java
+++ b/core/src/main/java/org/marjoramsail/core/discovery/ListingResponseMessage.java
@@ -9,7 +9,7 @@
  * @param routes the document of the routes; empty where it has none
  * @param upstreams the documents of the upstreams
  */
-public record ListingAnswer(List<Document> routes, List<Document> upstreams)
+public record ListingResponseMessage(List<Document> routes, List<Document> upstreams)
     implements PeerMessage {
 
   /**
@@ -22,7 +22,7 @@
   public record Document(String name, StoreRevision revision, String content) {}
 
   /** Copies the lists, so that the value cannot change. */
-  public ListingAnswer {
+  public ListingResponseMessage {
     routes = List.copyOf(routes);
     upstreams = List.copyOf(upstreams);
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/assembly/DaemonRuntime.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/assembly/DaemonRuntime.java
@@ -47,7 +47,7 @@
 import org.marjoramsail.daemon.membership.MembershipService;
 import org.marjoramsail.daemon.membership.PeerDirectory;
 import org.marjoramsail.daemon.operator.LocalState;
-import org.marjoramsail.daemon.operator.OperatorQuestion;
+import org.marjoramsail.daemon.operator.OperatorQueryMessage;
 import org.marjoramsail.daemon.operator.StoredFacts;
 import org.marjoramsail.daemon.order.HttpEngineOrders;
 import org.marjoramsail.daemon.order.OrderService;
@@ -206,7 +206,7 @@
         (from, message) -> placement.heardUsage((OrganisationUsageMessage) message));
     registerPackage(Configuration.class, configuration);
     registerPackage(ClaimMessage.class, claims);
-    registerPackage(OperatorQuestion.class, operators::heard);
+    registerPackage(OperatorQueryMessage.class, operators::heard);
     membership.listen(this::membersChanged);
     network.onConnectionLost(placement::connectionLost);
     return network
--- a/daemon/src/main/java/org/marjoramsail/daemon/assembly/OperatorParts.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/assembly/OperatorParts.java
@@ -24,7 +24,7 @@
 import org.marjoramsail.daemon.operator.Health;
 import org.marjoramsail.daemon.operator.HostOrderExecutor;
 import org.marjoramsail.daemon.operator.LiftQuarantineMessage;
-import org.marjoramsail.daemon.operator.LocalAnswers;
+import org.marjoramsail.daemon.operator.LocalQueries;
 import org.marjoramsail.daemon.operator.LocalState;
 import org.marjoramsail.daemon.operator.ObjectApiAuditLog;
 import org.marjoramsail.daemon.operator.OperatorListener;
@@ -74,7 +74,7 @@
       Clock clock,
       MeterRegistry meters) {
     this.control = control;
-    this.queries = new PeerFleetQueries(new LocalAnswers(state), membership::view, network, timers);
+    this.queries = new PeerFleetQueries(new LocalQueries(state), membership::view, network, timers);
     FleetQueries questions = stored.before(queries);
     ConfigurationOrders changes =
         new ConfigurationOrders(configuration, revision -> inForce(configuration, revision));
--- a/daemon/src/main/java/org/marjoramsail/daemon/operator/Administration.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/operator/Administration.java
@@ -78,7 +78,7 @@
    * @param base the revision that the operator saw
    * @return fails with an {@link AdministrationException}
    */
-  public Future<StatementAnswer> run(
+  public Future<StatementResponse> run(
       OperatorIdentity operator,
       String text,
       boolean isDryRun,
@@ -100,7 +100,7 @@
   }
 
   /** Answers a question. */
-  public Future<StatementAnswer> ask(OperatorIdentity operator, Question question) {
+  public Future<StatementResponse> ask(OperatorIdentity operator, Question question) {
     if (question instanceof Question.Show show) {
       return ask(operator, show.subject(), show.of(), show.conditions());
     }
@@ -108,7 +108,7 @@
     return ask(operator, Subject.REQUEST, Optional.of(request), List.of());
   }
 
-  private Future<StatementAnswer> ask(
+  private Future<StatementResponse> ask(
       OperatorIdentity operator,
       Subject subject,
       Optional<String> name,
@@ -118,20 +118,21 @@
     } catch (AdministrationException failure) {
       return Future.failedFuture(failure);
     }
-    OperatorQuestion question =
-        new OperatorQuestion(0, subject, name, conditions, operator.organisation(), MOST_ROWS);
-    return queries.ask(question).map(StatementAnswer.Table::new);
+    OperatorQueryMessage question =
+        new OperatorQueryMessage(0, subject, name, conditions, operator.organisation(), MOST_ROWS);
+    return queries.ask(question).map(StatementResponse.Table::new);
   }
 
   /** Has orders carried out, and keeps a record of it. */
-  public Future<StatementAnswer> carryOut(OrderContext context, List<Order> orders) {
+  public Future<StatementResponse> carryOut(OrderContext context, List<Order> orders) {
     return recorded(
         context,
         permitted(context, orders).compose(executor -> executor.carryOut(context, orders)));
   }
 
   /** Puts a whole object in the place of the one of that name, or creates it. */
-  Future<StatementAnswer> put(OrderContext context, ObjectForm form, String name, ObjectNode json) {
+  Future<StatementResponse> put(
+      OrderContext context, ObjectForm form, String name, ObjectNode json) {
     ConfigurationObject object;
     try {
       object = ObjectFields.ofJson(form.kind(), name, json);
@@ -165,11 +166,11 @@
                             + "; nothing was done.")));
   }
 
-  private Future<StatementAnswer> recorded(OrderContext context, Future<OrderOutcome> outcome) {
+  private Future<StatementResponse> recorded(OrderContext context, Future<OrderOutcome> outcome) {
     return outcome
         .onSuccess(done -> keep(context, done.state().name().toLowerCase(Locale.ROOT)))
         .onFailure(failure -> keep(context, codeOf(failure)))
-        .map(done -> new StatementAnswer.Ordered(context.order(), done));
+        .map(done -> new StatementResponse.Ordered(context.order(), done));
   }
 
   private void keep(OrderContext context, String outcome) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/operator/AdministrationResponses.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/operator/AdministrationResponses.java
@@ -8,8 +8,8 @@
 import java.util.Locale;
 import java.util.Optional;
 import org.marjoramsail.core.configuration.InForceReport;
-import org.marjoramsail.language.AnswerTable;
 import org.marjoramsail.language.Column;
+import org.marjoramsail.language.ResultTable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -29,15 +29,15 @@
     this.meters = meters;
   }
 
-  void answer(RoutingContext context, StatementAnswer answer) {
-    if (answer instanceof StatementAnswer.Table table) {
+  void answer(RoutingContext context, StatementResponse answer) {
+    if (answer instanceof StatementResponse.Table table) {
       table(context, table.table());
-    } else if (answer instanceof StatementAnswer.Ordered ordered) {
+    } else if (answer instanceof StatementResponse.Ordered ordered) {
       text(context, JSON, ordered(ordered).toString());
     }
   }
 
-  private void table(RoutingContext context, AnswerTable table) {
+  private void table(RoutingContext context, ResultTable table) {
     String accepted = context.request().getHeader("accept");
     if ("text/plain".equals(accepted)) {
       text(context, "text/plain; charset=utf-8", table.text());
@@ -51,7 +51,7 @@
     text(context, JSON, json.toString());
   }
 
-  private static ObjectNode ordered(StatementAnswer.Ordered ordered) {
+  private static ObjectNode ordered(StatementResponse.Ordered ordered) {
     ObjectNode json = JsonNodeFactory.instance.objectNode();
     json.put("order", ordered.order().value());
     json.put("state", ordered.outcome().state().name().toLowerCase(Locale.ROOT));
--- a/daemon/src/main/java/org/marjoramsail/daemon/operator/AdministrationServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/operator/AdministrationServer.java
@@ -200,7 +200,7 @@
   }
 
   private void respond(RoutingContext context, Work work) {
-    Future<StatementAnswer> answer;
+    Future<StatementResponse> answer;
     try {
       answer = work.begin();
     } catch (AdministrationException failure) {
@@ -214,7 +214,7 @@
   /** What a request asks for; refuses what it cannot understand. */
   @FunctionalInterface
   private interface Work {
-    Future<StatementAnswer> begin() throws AdministrationException;
+    Future<StatementResponse> begin() throws AdministrationException;
   }
 
   private static String openApi() {
--- a/daemon/src/main/java/org/marjoramsail/daemon/operator/LocalAnswers.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/operator/LocalQueries.java
@@ -16,14 +16,14 @@
 import org.marjoramsail.language.Subject;
 
 /** Answers questions from what this daemon knows. */
-public final class LocalAnswers {
+public final class LocalQueries {
 
   private final LocalState state;
-  private final Map<Subject, Function<OperatorQuestion, Stream<List<String>>>> sources =
+  private final Map<Subject, Function<OperatorQueryMessage, Stream<List<String>>>> sources =
       new EnumMap<>(Subject.class);
 
   /** Creates an instance with what this daemon knows. */
-  public LocalAnswers(LocalState state) {
+  public LocalQueries(LocalState state) {
     this.state = state;
     sources.put(Subject.REQUESTS, question -> requests());
     sources.put(Subject.REQUEST, this::request);
@@ -42,7 +42,7 @@
   }
 
   /** The rows of this daemon that the question asks for and that may be given. */
-  public OperatorAnswer answer(OperatorQuestion question) {
+  public OperatorResultMessage answer(OperatorQueryMessage question) {
     List<List<String>> rows =
         sources
             .get(question.subject())
@@ -51,11 +51,11 @@
             .limit(question.mostRows() + 1L)
             .toList();
     boolean isTruncated = rows.size() > question.mostRows();
-    return new OperatorAnswer(
+    return new OperatorResultMessage(
         question.number(), isTruncated ? rows.subList(0, question.mostRows()) : rows, isTruncated);
   }
 
-  private static boolean isWanted(OperatorQuestion question, List<String> row) {
+  private static boolean isWanted(OperatorQueryMessage question, List<String> row) {
     Subject subject = question.subject();
     boolean isVisible =
         question.organisation().stream()
@@ -100,7 +100,7 @@
                     view.ageMillis()));
   }
 
-  private Stream<List<String>> request(OperatorQuestion question) {
+  private Stream<List<String>> request(OperatorQueryMessage question) {
     String wanted = question.name().orElse("");
     List<List<String>> rows = new ArrayList<>();
     state.request(new RequestId(wanted)).ifPresent(view -> rows.addAll(stepsOf(view)));
@@ -278,7 +278,7 @@
 
   private Stream<List<String>> configuration() {
     return Stream.of(ObjectKind.values())
-        .flatMap(kind -> kind.in(state.configuration()).stream().map(LocalAnswers::configured));
+        .flatMap(kind -> kind.in(state.configuration()).stream().map(LocalQueries::configured));
   }
 
   private static List<String> configured(ConfigurationObject object) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/operator/OperatorQuestion.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/operator/OperatorQueryMessage.java
@@ -16,7 +16,7 @@
  * @param organisation the only organisation whose rows may be given; absent for all
  * @param mostRows how many rows are wanted at most
  */
-public record OperatorQuestion(
+public record OperatorQueryMessage(
     long number,
     Subject subject,
     Optional<String> name,
@@ -26,11 +26,11 @@
     implements PeerMessage {
 
   /** Copies the list, so that the value cannot change. */
-  public OperatorQuestion {
+  public OperatorQueryMessage {
     conditions = List.copyOf(conditions);
   }
 
-  OperatorQuestion withNumber(long other) {
-    return new OperatorQuestion(other, subject, name, conditions, organisation, mostRows);
+  OperatorQueryMessage withNumber(long other) {
+    return new OperatorQueryMessage(other, subject, name, conditions, organisation, mostRows);
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/operator/OperatorAnswer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/operator/OperatorResultMessage.java
@@ -10,11 +10,11 @@
  * @param rows a text for each column of the subject
  * @param truncated whether there are more rows than these
  */
-public record OperatorAnswer(long number, List<List<String>> rows, boolean truncated)
+public record OperatorResultMessage(long number, List<List<String>> rows, boolean truncated)
     implements PeerMessage {
 
   /** Copies the list, so that the value cannot change. */
-  public OperatorAnswer {
+  public OperatorResultMessage {
     rows = List.copyOf(rows);
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/operator/PeerFleetQueries.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/operator/PeerFleetQueries.java
@@ -16,7 +16,7 @@
 import org.marjoramsail.core.message.PeerTransport;
 import org.marjoramsail.core.model.DaemonId;
 import org.marjoramsail.daemon.configuration.Timers;
-import org.marjoramsail.language.AnswerTable;
+import org.marjoramsail.language.ResultTable;
 import org.marjoramsail.language.Subject;
 
 /** Asks daemons by messages, and answers the questions of others. Safe on any thread. */
@@ -25,7 +25,7 @@
   /** How long other daemons have to answer, in milliseconds. */
   public static final long PATIENCE_MILLIS = 2_000;
 
-  private final LocalAnswers local;
+  private final LocalQueries local;
   private final Supplier<MembershipView> membership;
   private final PeerTransport transport;
   private final Timers timers;
@@ -41,7 +41,7 @@
    * @param timers ends the wait for silent ones
    */
   public PeerFleetQueries(
-      LocalAnswers local,
+      LocalQueries local,
       Supplier<MembershipView> membership,
       PeerTransport transport,
       Timers timers) {
@@ -52,8 +52,8 @@
   }
 
   @Override
-  public Future<AnswerTable> ask(OperatorQuestion question) {
-    OperatorQuestion numbered = question.withNumber(lastNumber.incrementAndGet());
+  public Future<ResultTable> ask(OperatorQueryMessage question) {
+    OperatorQueryMessage numbered = question.withNumber(lastNumber.incrementAndGet());
     List<DaemonId> others = othersFor(question.subject());
     Gathering gathering = new Gathering(numbered, others);
     gatherings.put(numbered.number(), gathering);
@@ -68,9 +68,9 @@
 
   /** Handles a question or an answer of another daemon; for the transport's handlers. */
   public void handle(DaemonId from, PeerMessage message) {
-    if (message instanceof OperatorQuestion question) {
+    if (message instanceof OperatorQueryMessage question) {
       transport.send(from, local.answer(question));
-    } else if (message instanceof OperatorAnswer answer) {
+    } else if (message instanceof OperatorResultMessage answer) {
       // An answer after the end of the wait finds no gathering: its host was named as silent.
       Gathering gathering = gatherings.get(answer.number());
       if (gathering != null) {
@@ -93,17 +93,17 @@
 
   /** The answers to one question as they come in. */
   private static final class Gathering {
-    private final OperatorQuestion question;
+    private final OperatorQueryMessage question;
     private final List<DaemonId> others;
-    private final Map<DaemonId, OperatorAnswer> answers = new HashMap<>();
-    private final Promise<AnswerTable> promise = Promise.promise();
+    private final Map<DaemonId, OperatorResultMessage> answers = new HashMap<>();
+    private final Promise<ResultTable> promise = Promise.promise();
 
-    Gathering(OperatorQuestion question, List<DaemonId> others) {
+    Gathering(OperatorQueryMessage question, List<DaemonId> others) {
       this.question = question;
       this.others = others;
     }
 
-    synchronized void add(DaemonId from, OperatorAnswer answer) {
+    synchronized void add(DaemonId from, OperatorResultMessage answer) {
       boolean isExpected = answers.containsKey(from) || others.contains(from) || answers.isEmpty();
       if (isExpected) {
         answers.put(from, answer);
@@ -116,14 +116,14 @@
     synchronized void end() {
       List<List<String>> rows = new ArrayList<>();
       answers.values().forEach(answer -> rows.addAll(answer.rows()));
-      boolean isTruncated = answers.values().stream().anyMatch(OperatorAnswer::truncated);
+      boolean isTruncated = answers.values().stream().anyMatch(OperatorResultMessage::truncated);
       TreeSet<String> silent = new TreeSet<>();
       others.stream()
           .filter(other -> !answers.containsKey(other))
           .forEach(other -> silent.add(other.host()));
       int most = Math.min(rows.size(), question.mostRows());
       promise.tryComplete(
-          new AnswerTable(
+          new ResultTable(
               question.subject().columns(),
               rows.subList(0, most),
               List.copyOf(silent),
--- a/daemon/src/main/java/org/marjoramsail/daemon/operator/QuarantineOrderExecutor.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/operator/QuarantineOrderExecutor.java
@@ -10,9 +10,9 @@
 import org.marjoramsail.core.membership.MembershipView;
 import org.marjoramsail.core.message.PeerTransport;
 import org.marjoramsail.core.model.DaemonId;
-import org.marjoramsail.language.AnswerTable;
 import org.marjoramsail.language.Condition;
 import org.marjoramsail.language.Order;
+import org.marjoramsail.language.ResultTable;
 import org.marjoramsail.language.Subject;
 
 /** Clears contents on all daemons; one that this daemon does not remember by asking another. */
@@ -45,8 +45,8 @@
   @Override
   public Future<OrderOutcome> carryOut(OrderContext context, List<Order> orders) {
     String fingerprint = ((Order.LiftQuarantine) orders.get(0)).fingerprint();
-    OperatorQuestion question =
-        new OperatorQuestion(
+    OperatorQueryMessage question =
+        new OperatorQueryMessage(
             0,
             Subject.QUARANTINE,
             Optional.empty(),
@@ -57,7 +57,7 @@
   }
 
   private Future<OrderOutcome> carryOut(
-      OrderContext context, String fingerprint, AnswerTable table) {
+      OrderContext context, String fingerprint, ResultTable table) {
     List<String> hosts = table.cellsOf("host");
     if (hosts.isEmpty()) {
       return Future.failedFuture(
--- a/daemon/src/main/java/org/marjoramsail/daemon/operator/StatementAnswer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/operator/StatementResponse.java
@@ -1,17 +1,17 @@
 package org.marjoramsail.daemon.operator;
 
 import org.marjoramsail.core.configuration.OrderId;
-import org.marjoramsail.language.AnswerTable;
+import org.marjoramsail.language.ResultTable;
 
 /** What an operator gets for a statement. */
-public sealed interface StatementAnswer {
+public sealed interface StatementResponse {
 
   /**
    * The answer to a question.
    *
    * @param table its rows
    */
-  record Table(AnswerTable table) implements StatementAnswer {}
+  record Table(ResultTable table) implements StatementResponse {}
 
   /**
    * What became of an order.
@@ -19,5 +19,5 @@
    * @param order names it; the same again has no further effect
    * @param outcome how far it is
    */
-  record Ordered(OrderId order, OrderOutcome outcome) implements StatementAnswer {}
+  record Ordered(OrderId order, OrderOutcome outcome) implements StatementResponse {}
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/operator/StoredFacts.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/operator/StoredFacts.java
@@ -23,7 +23,7 @@
 import org.marjoramsail.daemon.platform.ObjectApi;
 import org.marjoramsail.daemon.platform.ObjectList;
 import org.marjoramsail.daemon.platform.StoredObject;
-import org.marjoramsail.language.AnswerTable;
+import org.marjoramsail.language.ResultTable;
 import org.marjoramsail.language.Subject;
 
 /**
@@ -79,10 +79,10 @@
     history = root.recentOrders();
   }
 
-  private static AnswerTable silent(AnswerTable table) {
+  private static ResultTable silent(ResultTable table) {
     List<String> silentHosts = new ArrayList<>(table.silentHosts());
     silentHosts.add(STORE);
-    return new AnswerTable(table.columns(), table.rows(), silentHosts, table.isTruncated());
+    return new ResultTable(table.columns(), table.rows(), silentHosts, table.isTruncated());
   }
 
   private Future<List<EngineOrderView>> readOrders() {
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerMessageType.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerMessageType.java
@@ -15,8 +15,8 @@
 import org.marjoramsail.core.configuration.RevisionRequestMessage;
 import org.marjoramsail.core.configuration.RevisionStatusMessage;
 import org.marjoramsail.core.configuration.RevisionStatusRequestMessage;
-import org.marjoramsail.core.discovery.ListingAnswer;
-import org.marjoramsail.core.discovery.ListingQuestion;
+import org.marjoramsail.core.discovery.ListingRequestMessage;
+import org.marjoramsail.core.discovery.ListingResponseMessage;
 import org.marjoramsail.core.membership.AckMessage;
 import org.marjoramsail.core.membership.DigestMessage;
 import org.marjoramsail.core.membership.PingMessage;
@@ -28,8 +28,8 @@
 import org.marjoramsail.core.placement.PlacementMessage;
 import org.marjoramsail.daemon.operator.DrainHostMessage;
 import org.marjoramsail.daemon.operator.LiftQuarantineMessage;
-import org.marjoramsail.daemon.operator.OperatorAnswer;
-import org.marjoramsail.daemon.operator.OperatorQuestion;
+import org.marjoramsail.daemon.operator.OperatorQueryMessage;
+import org.marjoramsail.daemon.operator.OperatorResultMessage;
 
 /**
  * The number that stands for each record on the wire.
@@ -62,14 +62,14 @@
   REVISION_REQUEST(53, RevisionRequestMessage.class),
   REVISION_STATUS(54, RevisionStatusMessage.class),
   REVISION_STATUS_REQUEST(55, RevisionStatusRequestMessage.class),
-  LISTING_QUESTION(56, ListingQuestion.class),
-  LISTING_ANSWER(57, ListingAnswer.class),
+  LISTING_QUESTION(56, ListingRequestMessage.class),
+  LISTING_ANSWER(57, ListingResponseMessage.class),
   CRASH_REPORT(70, CrashReportMessage.class),
   CLAIM(71, ClaimMessage.class),
   CLAIM_RESULT(72, ClaimResultMessage.class),
   SETTLE(73, SettleMessage.class),
-  OPERATOR_QUESTION(90, OperatorQuestion.class),
-  OPERATOR_ANSWER(91, OperatorAnswer.class),
+  OPERATOR_QUESTION(90, OperatorQueryMessage.class),
+  OPERATOR_ANSWER(91, OperatorResultMessage.class),
   DRAIN_HOST(92, DrainHostMessage.class),
   LIFT_QUARANTINE(93, LiftQuarantineMessage.class);
 
--- a/daemon/src/test/java/org/marjoramsail/daemon/operator/AdministrationTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/operator/AdministrationTest.java
@@ -16,7 +16,7 @@
 import org.marjoramsail.core.model.DaemonId;
 import org.marjoramsail.daemon.configuration.FakeStore;
 import org.marjoramsail.daemon.settings.OperatorRole;
-import org.marjoramsail.language.AnswerTable;
+import org.marjoramsail.language.ResultTable;
 
 class AdministrationTest {
 
@@ -64,7 +64,7 @@
             Optional.ofNullable(organisation));
     Configuration before = fixture.stored();
 
-    Future<StatementAnswer> answer = fixture.run(operator, statement);
+    Future<StatementResponse> answer = fixture.run(operator, statement);
 
     assertThat(Optional.ofNullable(answer.cause()).map(AdministrationTest::failureOf))
         .isEqualTo(Optional.ofNullable(refusal));
@@ -92,7 +92,7 @@
     fixture.state.addRequest("r", "comuna-maipu");
     fixture.state.addWaiting("r", "comuna-maipu");
 
-    AnswerTable table = table(fixture.run(OperatorFixture.ADMINISTRATOR, "explain request r"));
+    ResultTable table = table(fixture.run(OperatorFixture.ADMINISTRATOR, "explain request r"));
 
     assertThat(table.cellsOf("detail"))
         .containsExactly(
@@ -111,10 +111,11 @@
     fixture.state.addMember(second);
     fixture.state.addMember(third);
 
-    Future<StatementAnswer> answer = fixture.run(OperatorFixture.ADMINISTRATOR, "show revision");
-    OperatorQuestion question = (OperatorQuestion) fixture.sent.get(0).message();
-    OperatorAnswer reply =
-        new OperatorAnswer(question.number(), List.of(List.of("entry-2", "peer", "6", "1")), false);
+    Future<StatementResponse> answer = fixture.run(OperatorFixture.ADMINISTRATOR, "show revision");
+    OperatorQueryMessage question = (OperatorQueryMessage) fixture.sent.get(0).message();
+    OperatorResultMessage reply =
+        new OperatorResultMessage(
+            question.number(), List.of(List.of("entry-2", "peer", "6", "1")), false);
     fixture.queries.handle(second, reply);
     assertThat(answer.isComplete()).isFalse();
     fixture.timers.advance(PeerFleetQueries.PATIENCE_MILLIS);
@@ -128,7 +129,7 @@
   void severalOrdersAreInForceTogetherOrNotAtAll() throws Exception {
     Configuration before = fixture.stored();
 
-    Future<StatementAnswer> refused =
+    Future<StatementResponse> refused =
         fixture.run(
             OperatorFixture.ADMINISTRATOR,
             "begin; change rule ballots with deadline-millis = 1; delete service lost; commit");
@@ -157,8 +158,8 @@
     OrderId order = new OrderId("night-1");
     String text = "change rule ballots with deadline-millis = 7000";
 
-    Future<StatementAnswer> first = runAs(order, text);
-    Future<StatementAnswer> again = runAs(order, text);
+    Future<StatementResponse> first = runAs(order, text);
+    Future<StatementResponse> again = runAs(order, text);
 
     assertThat(again.result()).isEqualTo(first.result());
     assertThat(fixture.stored().revision()).isEqualTo(2);
@@ -166,12 +167,12 @@
 
   @Test
   void aDryRunChangesNothingAndSaysWhatWouldChange() throws Exception {
-    Future<StatementAnswer> answer =
+    Future<StatementResponse> answer =
         fixture.run(
             OperatorFixture.ADMINISTRATOR,
             "dry run change rule ballots with deadline-millis = 7000");
 
-    StatementAnswer.Ordered ordered = (StatementAnswer.Ordered) answer.result();
+    StatementResponse.Ordered ordered = (StatementResponse.Ordered) answer.result();
     assertThat(ordered.outcome().state()).isEqualTo(OrderOutcome.State.TRIED);
     assertThat(ordered.outcome().details())
         .containsExactly("rule/ballots, deadlineMillis: 10000 becomes 7000");
@@ -182,7 +183,7 @@
   void anOrderWhileTheStoreIsDownIsRefusedAsNotDone() throws Exception {
     fixture.store.faults(call -> FakeStore.Fault.UNAVAILABLE);
 
-    Future<StatementAnswer> answer =
+    Future<StatementResponse> answer =
         fixture.run(OperatorFixture.ADMINISTRATOR, "delete rule ballots");
 
     assertThat(failureOf(answer.cause())).isEqualTo(AdministrationFailure.STORE_UNAVAILABLE);
@@ -191,7 +192,7 @@
 
   @Test
   void aMistypedNameIsRefusedWithTheOneThatWasMeant() {
-    Future<StatementAnswer> answer =
+    Future<StatementResponse> answer =
         fixture.run(OperatorFixture.ADMINISTRATOR, "delete rule balots");
 
     assertThat(answer.cause()).hasMessage("rule/balots does not exist; did you mean ballots?");
@@ -209,13 +210,13 @@
             "ana: delete rule ballots: accepted", "ana: dry run delete rule lost: not-found");
   }
 
-  private Future<StatementAnswer> runAs(OrderId order, String text) {
+  private Future<StatementResponse> runAs(OrderId order, String text) {
     return fixture.administration.run(
         OperatorFixture.ADMINISTRATOR, text, false, order, Optional.empty());
   }
 
-  private static AnswerTable table(Future<StatementAnswer> answer) {
-    return ((StatementAnswer.Table) answer.result()).table();
+  private static ResultTable table(Future<StatementResponse> answer) {
+    return ((StatementResponse.Table) answer.result()).table();
   }
 
   private static AdministrationFailure failureOf(Throwable failure) {
--- a/daemon/src/test/java/org/marjoramsail/daemon/operator/LanguageExamplesTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/operator/LanguageExamplesTest.java
@@ -21,7 +21,7 @@
   void eachStatementOfThePageIsAnsweredOrCarriedOut(String statement) throws Exception {
     OperatorFixture fixture = new OperatorFixture();
 
-    Future<StatementAnswer> answer = fixture.run(OperatorFixture.ADMINISTRATOR, statement);
+    Future<StatementResponse> answer = fixture.run(OperatorFixture.ADMINISTRATOR, statement);
 
     assertThat(answer.cause()).isNull();
     assertThat(answer.isComplete()).isTrue();
--- a/daemon/src/test/java/org/marjoramsail/daemon/operator/OperatorFixture.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/operator/OperatorFixture.java
@@ -44,7 +44,7 @@
   final List<Order> carriedOut = new ArrayList<>();
   final PeerFleetQueries queries =
       new PeerFleetQueries(
-          new LocalAnswers(state),
+          new LocalQueries(state),
           state::membership,
           (to, message) -> sent.add(new Sent(to, message)),
           timers);
@@ -87,7 +87,7 @@
     return new OrderId("order-" + orders);
   }
 
-  Future<StatementAnswer> run(OperatorIdentity operator, String text) {
+  Future<StatementResponse> run(OperatorIdentity operator, String text) {
     return administration.run(operator, text, false, nextOrder(), Optional.empty());
   }
 
--- a/daemon/src/test/java/org/marjoramsail/daemon/operator/OrderExecutorsTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/operator/OrderExecutorsTest.java
@@ -17,8 +17,8 @@
 import org.marjoramsail.core.model.UpstreamName;
 import org.marjoramsail.core.model.UpstreamRole;
 import org.marjoramsail.daemon.order.OrderService;
-import org.marjoramsail.language.AnswerTable;
 import org.marjoramsail.language.Order;
+import org.marjoramsail.language.ResultTable;
 import org.marjoramsail.language.Subject;
 
 final class OrderExecutorsTest {
@@ -98,7 +98,7 @@
             fingerprint -> false,
             question ->
                 Future.succeededFuture(
-                    new AnswerTable(
+                    new ResultTable(
                         Subject.QUARANTINE.columns(),
                         List.of(List.of("00000000000000ff", "quarantined", "entry-2", "2", "5")),
                         List.of(),
--- a/language/src/main/java/org/marjoramsail/language/AnswerTable.java
+++ b/language/src/main/java/org/marjoramsail/language/ResultTable.java
@@ -15,13 +15,13 @@
  * @param silentHosts the hosts that should have answered and did not
  * @param isTruncated whether there are more rows than these
  */
-public record AnswerTable(
+public record ResultTable(
     List<Column> columns, List<List<String>> rows, List<String> silentHosts, boolean isTruncated) {
 
   private static final String GAP = "  ";
 
   /** Copies the lists and checks the width of each row. */
-  public AnswerTable {
+  public ResultTable {
     columns = List.copyOf(columns);
     rows = rows.stream().map(List::copyOf).toList();
     silentHosts = List.copyOf(silentHosts);
--- a/language/src/test/java/org/marjoramsail/language/AnswerTableTest.java
+++ b/language/src/test/java/org/marjoramsail/language/ResultTableTest.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class AnswerTableTest {
+class ResultTableTest {
 
   private static final List<Column> COLUMNS =
       List.of(Column.text("host"), Column.number("revision"));
 
   @Test
   void aTableAlignsItsColumnsAndNamesSilentHosts() {
-    AnswerTable table =
-        new AnswerTable(
+    ResultTable table =
+        new ResultTable(
             COLUMNS,
             List.of(List.of("entry-1", "7"), List.of("e-2", "12")),
             List.of("entry-3"),
@@ -33,8 +33,8 @@
 
   @Test
   void jsonHasNumbersAsNumbers() {
-    AnswerTable table =
-        new AnswerTable(
+    ResultTable table =
+        new ResultTable(
             COLUMNS, List.of(List.of("entry-1", "7"), List.of("e-2", "")), List.of("e-3"), false);
 
     assertThat(table.json())
@@ -46,6 +46,6 @@
   @Test
   void aRowOfAnotherWidthIsAFaultOfTheProgram() {
     assertThatIllegalArgumentException()
-        .isThrownBy(() -> new AnswerTable(COLUMNS, List.of(List.of("entry-1")), List.of(), false));
+        .isThrownBy(() -> new ResultTable(COLUMNS, List.of(List.of("entry-1")), List.of(), false));
   }
 }
