--- a/command/src/main/java/org/marjoramsail/command/capacity/TokensPart.java
+++ b/command/src/main/java/org/marjoramsail/command/capacity/TokensPart.java
@@ -12,7 +12,7 @@
 import org.marjoramsail.standin.load.RequestKind;
 import org.marjoramsail.standin.load.RequestMix;
 import org.marjoramsail.standin.load.RequestOutcome;
-import org.marjoramsail.standin.load.StandInAnswers;
+import org.marjoramsail.standin.load.StandInResponses;
 
 /**
  * Processor time of a daemon for each request, streamed token and kilobyte of prompt.
@@ -111,7 +111,7 @@
       throws CapacityException {
     LoadRunner runner =
         new LoadRunner(
-            fleet.standIns(), bench.clock(), new StandInAnswers(), LoadRunnerOptions.standard());
+            fleet.standIns(), bench.clock(), new StandInResponses(), LoadRunnerOptions.standard());
     return Waiting.on(
         "run level " + number,
         runner.run(fleet.fleet().targets(), requests(level, number)),
--- a/command/src/main/java/org/marjoramsail/command/fleet/FleetRun.java
+++ b/command/src/main/java/org/marjoramsail/command/fleet/FleetRun.java
@@ -14,7 +14,7 @@
 import org.marjoramsail.standin.load.LoadRunnerOptions;
 import org.marjoramsail.standin.load.LoadTarget;
 import org.marjoramsail.standin.load.RequestOutcome;
-import org.marjoramsail.standin.load.StandInAnswers;
+import org.marjoramsail.standin.load.StandInResponses;
 import org.marjoramsail.standin.load.Workload;
 import org.marjoramsail.standin.load.WorkloadDefinition;
 
@@ -85,7 +85,7 @@
       LoadListener listener)
       throws FleetException {
     LoadRunner runner =
-        new LoadRunner(vertx, clock, new StandInAnswers(), LoadRunnerOptions.standard());
+        new LoadRunner(vertx, clock, new StandInResponses(), LoadRunnerOptions.standard());
     long seconds = workload.durationMillis() / MILLIS_PER_SECOND + AFTER_LAST_SECONDS;
     return await(phase, runner.run(targets, Workload.plan(workload), listener), seconds);
   }
--- a/command/src/main/java/org/marjoramsail/command/soak/SideLoad.java
+++ b/command/src/main/java/org/marjoramsail/command/soak/SideLoad.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.marjoramsail.core.time.Clock;
-import org.marjoramsail.standin.load.ExpectedAnswer;
+import org.marjoramsail.standin.load.ExpectedResponse;
 import org.marjoramsail.standin.load.LoadRunner;
 import org.marjoramsail.standin.load.LoadRunnerOptions;
 import org.marjoramsail.standin.load.LoadTarget;
@@ -37,7 +37,7 @@
   SideLoad(
       Vertx vertx,
       Clock clock,
-      ExpectedAnswer expected,
+      ExpectedResponse expected,
       long startMillis,
       long graceMillis,
       List<LoadTarget> targets) {
--- a/command/src/main/java/org/marjoramsail/command/soak/SoakRun.java
+++ b/command/src/main/java/org/marjoramsail/command/soak/SoakRun.java
@@ -16,7 +16,7 @@
 import org.marjoramsail.standin.load.LoadRunnerOptions;
 import org.marjoramsail.standin.load.PlannedRequest;
 import org.marjoramsail.standin.load.RequestOutcome;
-import org.marjoramsail.standin.load.StandInAnswers;
+import org.marjoramsail.standin.load.StandInResponses;
 import org.marjoramsail.standin.load.Workload;
 
 /** Runs one workload against a local fleet of its own while faults happen to it. */
@@ -71,7 +71,7 @@
     List<PlannedFault> faults = plan(setup);
     long start = clock.millis();
     SideLoad side =
-        new SideLoad(vertx, clock, new StandInAnswers(), start, GRACE_MILLIS, fleet.targets());
+        new SideLoad(vertx, clock, new StandInResponses(), start, GRACE_MILLIS, fleet.targets());
     Resender resender = new Resender(vertx, side);
     PoisonCaller poison = new PoisonCaller(side, setup.workload().mix());
     resender.start();
@@ -120,7 +120,7 @@
     return new LoadRunner(
         vertx,
         clock,
-        new StandInAnswers(),
+        new StandInResponses(),
         new LoadRunnerOptions(LANES, 0, GRACE_MILLIS, CONNECTIONS));
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/outcome/LastAnswer.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/FinalResponse.java
@@ -11,7 +11,7 @@
  * <p>An upstream's own answer that it had failed is kept while another upstream is tried. When no
  * better one comes it is given to the caller in place of a refusal, which would say less.
  */
-final class LastAnswer {
+final class FinalResponse {
 
   private boolean callerGone;
   private boolean given;
@@ -48,7 +48,7 @@
       return Optional.empty();
     }
     if (failedAttempt.isPresent()) {
-      return Optional.of(new LifecycleAction.DeliverAnswer(failedAttempt.getAsInt()));
+      return Optional.of(new LifecycleAction.DeliverResponse(failedAttempt.getAsInt()));
     }
     return Optional.of(
         new LifecycleAction.Refuse(
--- a/core/src/main/java/org/marjoramsail/core/outcome/LifecycleAction.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/LifecycleAction.java
@@ -104,7 +104,7 @@
    *
    * @param attempt the attempt that got it
    */
-  record DeliverAnswer(int attempt) implements LifecycleAction {}
+  record DeliverResponse(int attempt) implements LifecycleAction {}
 
   /**
    * Ends without the whole answer.
--- a/core/src/main/java/org/marjoramsail/core/outcome/LifecycleDispatch.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/LifecycleDispatch.java
@@ -18,9 +18,9 @@
       lifecycle.streamFinished(finished);
     } else if (event instanceof LifecycleEvent.Prefilled prefilled) {
       lifecycle.prefilled(prefilled);
-    } else if (event instanceof LifecycleEvent.PlainAnswered answered) {
-      lifecycle.plainAnswered(answered);
-    } else if (event instanceof LifecycleEvent.FailureAnswered failed) {
+    } else if (event instanceof LifecycleEvent.PlainResponseReceived answered) {
+      lifecycle.plainResponseReceived(answered);
+    } else if (event instanceof LifecycleEvent.FailureResponseReceived failed) {
       lifecycle.failureAnswered(failed);
     } else if (event instanceof LifecycleEvent.UpstreamFailed failed) {
       lifecycle.upstreamFailed(failed);
--- a/core/src/main/java/org/marjoramsail/core/outcome/LifecycleEvent.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/LifecycleEvent.java
@@ -90,14 +90,14 @@
    *
    * @param attempt which attempt
    */
-  record PlainAnswered(int attempt) implements LifecycleEvent {}
+  record PlainResponseReceived(int attempt) implements LifecycleEvent {}
 
   /**
    * An upstream answered whole and said that it had failed; the shell keeps the answer.
    *
    * @param attempt which attempt
    */
-  record FailureAnswered(int attempt) implements LifecycleEvent {}
+  record FailureResponseReceived(int attempt) implements LifecycleEvent {}
 
   /**
    * A call to an upstream failed.
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
@@ -39,7 +39,7 @@
   private final KvCustody kv;
   private final AttemptLedger ledger;
   private final BackOff backOff;
-  private final LastAnswer last = new LastAnswer();
+  private final FinalResponse last = new FinalResponse();
   private final SignTimes signs;
   private final Set<UpstreamName> avoid = new LinkedHashSet<>();
   private List<LifecycleAction> actions = new ArrayList<>();
@@ -375,14 +375,14 @@
     }
   }
 
-  void plainAnswered(LifecycleEvent.PlainAnswered answered) {
+  void plainResponseReceived(LifecycleEvent.PlainResponseReceived answered) {
     if (state != LifecycleState.PLAIN_RUNNING || answered.attempt() != attempt) {
       drop(DropReason.LATE_EVENT);
       return;
     }
     signs.answered(nowMillis);
     if (!last.isCallerGone()) {
-      answer(new LifecycleAction.DeliverAnswer(attempt));
+      answer(new LifecycleAction.DeliverResponse(attempt));
     }
     suspects.completed(nowMillis);
     end(AttemptResult.COMPLETED, ClaimOutcome.COMPLETED);
@@ -392,7 +392,7 @@
    * Tries another upstream where the request may run again; the answer that there is stays at hand
    * and is given to the caller when no better one comes.
    */
-  void failureAnswered(LifecycleEvent.FailureAnswered failed) {
+  void failureAnswered(LifecycleEvent.FailureResponseReceived failed) {
     boolean awaited =
         state == LifecycleState.PLAIN_RUNNING || (state == LifecycleState.GENERATING && !frameSeen);
     if (!awaited || failed.attempt() != attempt) {
--- a/core/src/main/java/org/marjoramsail/core/placement/MemoryForecast.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/MemoryForecast.java
@@ -49,17 +49,17 @@
   }
 
   /** One request as it stands now: what it holds and how much it will still grow. */
-  private record Standing(double held, AnswerSpread.Left left) {
+  private record Standing(double held, OutputLengthDistribution.Left left) {
     double mean() {
       return left.mean();
     }
   }
 
-  private final AnswerSpread spread;
+  private final OutputLengthDistribution spread;
   private final Map<RequestId, Growing> growing = new HashMap<>();
 
   /** Creates an instance with how far lengths lie from what was foretold. */
-  MemoryForecast(AnswerSpread spread) {
+  MemoryForecast(OutputLengthDistribution spread) {
     this.spread = spread;
   }
 
--- a/core/src/main/java/org/marjoramsail/core/placement/AnswerSpread.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/OutputLengthDistribution.java
@@ -8,7 +8,7 @@
  * <p>Kept as some quantiles of the ratio of length to forecast, so that it needs no assumption of
  * how lengths are spread, and says how much a stream that has come so far will still grow.
  */
-final class AnswerSpread {
+final class OutputLengthDistribution {
 
   /** What one answer will still grow by, in tokens. */
   record Left(double mean, double variance) {}
@@ -34,7 +34,7 @@
   private final double[] logarithms = new double[SAMPLES];
   private final double[] ratios = new double[SAMPLES];
 
-  private AnswerSpread(double deviation) {
+  private OutputLengthDistribution(double deviation) {
     for (int place = 0; place < UPPER_HALF.length; place++) {
       logarithms[UPPER_HALF.length + place] = deviation * UPPER_HALF[place];
       logarithms[UPPER_HALF.length - 1 - place] = -deviation * UPPER_HALF[place];
@@ -43,13 +43,13 @@
   }
 
   /** A first guess. */
-  static AnswerSpread guessed() {
-    return new AnswerSpread(FIRST_DEVIATION);
+  static OutputLengthDistribution guessed() {
+    return new OutputLengthDistribution(FIRST_DEVIATION);
   }
 
   /** Answers are as long as was foretold. */
-  static AnswerSpread exact() {
-    return new AnswerSpread(0);
+  static OutputLengthDistribution exact() {
+    return new OutputLengthDistribution(0);
   }
 
   /** Learns from an answer that came to its end. */
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementEstimates.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementEstimates.java
@@ -25,7 +25,7 @@
 
   private final Cache<String, MovingAverage> outputShares =
       Caffeine.newBuilder().maximumSize(MOST_RULES).executor(Runnable::run).build();
-  private final AnswerSpread spread = AnswerSpread.guessed();
+  private final OutputLengthDistribution spread = OutputLengthDistribution.guessed();
   private final MovingAverage decodeMillisPerToken;
   private final MovingAverage holdMillis = new MovingAverage(FIRST_HOLD_MILLIS);
   private final MovingAverage heldTokens = new MovingAverage(FIRST_HELD_TOKENS);
@@ -147,7 +147,7 @@
   }
 
   /** How far lengths of answers lie from what was foretold. */
-  AnswerSpread spread() {
+  OutputLengthDistribution spread() {
     return spread;
   }
 
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardUpstreams.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardUpstreams.java
@@ -23,7 +23,7 @@
   private static final long SERVING_MILLIS = 2_000;
 
   private final PlacementSettings settings;
-  private final AnswerSpread spread;
+  private final OutputLengthDistribution spread;
   private final PrefillPace pace;
   private final PlainOccupancy occupancy = new PlainOccupancy();
   private final Map<UpstreamName, UpstreamState> byName = new TreeMap<>();
@@ -31,7 +31,7 @@
   private List<UpstreamState> all = List.of();
   private double fleetShare = 1;
 
-  ShardUpstreams(PlacementSettings settings, AnswerSpread spread) {
+  ShardUpstreams(PlacementSettings settings, OutputLengthDistribution spread) {
     this.settings = settings;
     this.spread = spread;
     this.pace = new PrefillPace(settings);
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
@@ -68,7 +68,7 @@
   UpstreamState(
       UpstreamDefinition definition,
       PlacementSettings settings,
-      AnswerSpread spread,
+      OutputLengthDistribution spread,
       PrefillPace pace,
       PlainOccupancy occupancy) {
     this.pace = pace;
--- a/core/src/main/java/org/marjoramsail/core/routing/AnswerTimes.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/PlainResponseTimes.java
@@ -11,7 +11,7 @@
  * that was nearly done, and none of the requests that may be repeated is ever answered. Learned
  * from all requests of a service, also those that are never given up. Not safe for several threads.
  */
-public final class AnswerTimes {
+public final class PlainResponseTimes {
 
   private static final double LEARNING = 0.1;
 
@@ -21,7 +21,7 @@
   private final Map<String, Double> meanMillis = new HashMap<>();
 
   /** Starts with nothing learned. */
-  public AnswerTimes() {}
+  public PlainResponseTimes() {}
 
   /** Learns from an answer. */
   public void learn(String service, long tookMillis) {
--- a/core/src/test/java/org/marjoramsail/core/outcome/FuzzedRequest.java
+++ b/core/src/test/java/org/marjoramsail/core/outcome/FuzzedRequest.java
@@ -50,7 +50,7 @@
     } else if (action instanceof LifecycleAction.Complete) {
       ends.add(action);
       assertThat(text).as("the whole answer").hasSize(lifecycle.profile().outputTokens());
-    } else if (action instanceof LifecycleAction.DeliverAnswer) {
+    } else if (action instanceof LifecycleAction.DeliverResponse) {
       ends.add(action);
       assertThat(runs).as("an answer comes from a run").isPositive();
     } else if (action instanceof LifecycleAction.Refuse refuse) {
--- a/core/src/test/java/org/marjoramsail/core/outcome/FuzzedWorld.java
+++ b/core/src/test/java/org/marjoramsail/core/outcome/FuzzedWorld.java
@@ -419,7 +419,7 @@
       crashWhenPoisoned(request, upstream);
       return;
     }
-    LifecycleEvent answered = new LifecycleEvent.PlainAnswered(attempt);
+    LifecycleEvent answered = new LifecycleEvent.PlainResponseReceived(attempt);
     send(request, () -> tell(request, answered));
   }
 
--- a/core/src/test/java/org/marjoramsail/core/placement/MemoryForecastTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/MemoryForecastTest.java
@@ -14,7 +14,7 @@
 
   private static final double MILLIS_PER_TOKEN = 5;
 
-  private final MemoryForecast forecast = new MemoryForecast(AnswerSpread.exact());
+  private final MemoryForecast forecast = new MemoryForecast(OutputLengthDistribution.exact());
 
   @Test
   void oneRequestNeedsItsPromptAndItsWholeAnswer() {
--- a/core/src/test/java/org/marjoramsail/core/placement/RoleAdvisorTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/RoleAdvisorTest.java
@@ -36,7 +36,7 @@
         new UpstreamState(
             PlacementFixtures.upstream("lector", "p", UpstreamRole.PREFILL, 48),
             PlacementSettings.forShortLivedCaches(),
-            AnswerSpread.guessed(),
+            OutputLengthDistribution.guessed(),
             new PrefillPace(PlacementSettings.forShortLivedCaches()),
             new PlainOccupancy());
     for (long end = 200; end <= 20_000; end += 100) {
--- a/core/src/test/java/org/marjoramsail/core/placement/SaturatedMemoryTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/SaturatedMemoryTest.java
@@ -78,7 +78,8 @@
 
   private static Outcome play(
       int memory, int slots, int prompt, int answer, double deviation, boolean learning) {
-    AnswerSpread spread = learning ? AnswerSpread.guessed() : AnswerSpread.exact();
+    OutputLengthDistribution spread =
+        learning ? OutputLengthDistribution.guessed() : OutputLengthDistribution.exact();
     Random random = new Random(17);
     MemoryForecast forecast = new MemoryForecast(spread);
     List<Stream> running = new ArrayList<>();
--- a/core/src/test/java/org/marjoramsail/core/routing/AnswerTimesTest.java
+++ b/core/src/test/java/org/marjoramsail/core/routing/PlainResponseTimesTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.marjoramsail.core.model.Repeatability;
 
-class AnswerTimesTest {
+class PlainResponseTimesTest {
 
   private static final Route ROUTE =
       new Route(
@@ -22,7 +22,7 @@
           2,
           List.of(new WeightedService("desk", 1)));
 
-  private final AnswerTimes times = new AnswerTimes();
+  private final PlainResponseTimes times = new PlainResponseTimes();
 
   @Test
   void anAnswerOfAQuickServiceIsLookedForElsewhereBeforeItsTarget() {
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/WholeAnswerSink.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/BufferedResponseSink.java
@@ -6,10 +6,10 @@
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.outcome.Completion;
 import org.marjoramsail.daemon.request.CallerSink;
-import org.marjoramsail.daemon.upstream.PlainAnswer;
+import org.marjoramsail.daemon.upstream.PlainResponse;
 
 /** Answers with one document: a completion that is not streamed, or a plain service's answer. */
-final class WholeAnswerSink implements CallerSink {
+final class BufferedResponseSink implements CallerSink {
 
   private final HttpServerResponse response;
   private final RequestId request;
@@ -19,7 +19,7 @@
   private final ProblemWriter problems;
   private final StringBuilder text = new StringBuilder();
 
-  WholeAnswerSink(
+  BufferedResponseSink(
       HttpServerResponse response,
       RequestId request,
       CompletionFormat format,
@@ -48,7 +48,7 @@
   }
 
   @Override
-  public void answer(PlainAnswer answer) {
+  public void answer(PlainResponse answer) {
     if (!response.ended() && !response.closed()) {
       response.setStatusCode(answer.status());
       answer
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHandler.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHandler.java
@@ -123,14 +123,14 @@
                 problems,
                 limits,
                 refusal -> handle.get().end(refusal))
-            : new WholeAnswerSink(
+            : new BufferedResponseSink(
                 response, id, route.format(), call.service(), dependencies.json(), problems);
     handle.set(submit(request, prepared, sink));
   }
 
   private void register(HttpServerRequest request, RequestFactory.Prepared prepared) {
     CallerSink sink =
-        new WholeAnswerSink(
+        new BufferedResponseSink(
             request.response(),
             prepared.profile().id(),
             CompletionFormat.COMPLETION,
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/StreamSink.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/StreamSink.java
@@ -11,7 +11,7 @@
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.outcome.Completion;
 import org.marjoramsail.daemon.request.CallerSink;
-import org.marjoramsail.daemon.upstream.PlainAnswer;
+import org.marjoramsail.daemon.upstream.PlainResponse;
 
 /**
  * Answers token by token as server-sent events.
@@ -83,7 +83,7 @@
   }
 
   @Override
-  public void answer(PlainAnswer answer) {
+  public void answer(PlainResponse answer) {
     throw new IllegalStateException("A plain service does not answer a completion.");
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardDependencies.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardDependencies.java
@@ -17,7 +17,7 @@
  * @param aliveness hears signs of life
  * @param feedback hears what upstreams say of themselves
  * @param completions hears how long streams are
- * @param answerTimes hears how long plain answers of a service take, in milliseconds
+ * @param plainResponseTimes hears how long plain answers of a service take, in milliseconds
  * @param closing marks answers while this daemon stops
  * @param refusals writes answers of this program
  * @param clock tells the time
@@ -30,7 +30,7 @@
     Aliveness aliveness,
     UpstreamFeedbackRecorder feedback,
     Completions completions,
-    ObjLongConsumer<String> answerTimes,
+    ObjLongConsumer<String> plainResponseTimes,
     ClosingMark closing,
     RefusalWriter refusals,
     Clock clock) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
@@ -23,7 +23,7 @@
 import org.marjoramsail.daemon.request.CallerSink;
 import org.marjoramsail.daemon.request.OpenCall;
 import org.marjoramsail.daemon.upstream.KvLocation;
-import org.marjoramsail.daemon.upstream.PlainAnswer;
+import org.marjoramsail.daemon.upstream.PlainResponse;
 
 /**
  * One forwarded request between its caller and its upstreams: sends its attempts, keeps the answers
@@ -41,7 +41,7 @@
   private final RequestProfile profile;
   private final HttpServerRequest caller;
   private final boolean streaming;
-  private final Map<Integer, PlainAnswer> answers = new HashMap<>(2);
+  private final Map<Integer, PlainResponse> answers = new HashMap<>(2);
   private final Map<Integer, KvLocation> handles = new HashMap<>(2);
   private final Map<UpstreamName, UpstreamDefinition> used = new HashMap<>(2);
   private Optional<Head> streamHead = Optional.empty();
@@ -181,7 +181,7 @@
   }
 
   @Override
-  public void answer(PlainAnswer answer) {
+  public void answer(PlainResponse answer) {
     HttpServerResponse response = caller.response();
     if (response.closed() || response.ended()) {
       return;
@@ -425,14 +425,14 @@
     }
 
     private void endWhole() {
-      answers.put(attempt(), new PlainAnswer(head.status(), head.headers(), body()));
+      answers.put(attempt(), new PlainResponse(head.status(), head.headers(), body()));
       if (!streaming) {
-        dependencies.answerTimes().accept(upstream().service(), tookMillis());
+        dependencies.plainResponseTimes().accept(upstream().service(), tookMillis());
       }
       if (verdict == Verdict.SERVED && !streaming) {
-        tell(new LifecycleEvent.PlainAnswered(attempt()));
+        tell(new LifecycleEvent.PlainResponseReceived(attempt()));
       } else if (verdict == Verdict.FAILED) {
-        tell(new LifecycleEvent.FailureAnswered(attempt()));
+        tell(new LifecycleEvent.FailureResponseReceived(attempt()));
       } else {
         failed(UpstreamFailure.MALFORMED);
       }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -25,10 +25,10 @@
 import org.marjoramsail.core.model.ServiceClass;
 import org.marjoramsail.core.outcome.Fingerprint;
 import org.marjoramsail.core.outcome.RequestProfile;
-import org.marjoramsail.core.routing.AnswerTimes;
 import org.marjoramsail.core.routing.CallerAccess;
 import org.marjoramsail.core.routing.CallerBounds;
 import org.marjoramsail.core.routing.ForwardingRules;
+import org.marjoramsail.core.routing.PlainResponseTimes;
 import org.marjoramsail.core.routing.Route;
 import org.marjoramsail.core.routing.RoutingConfiguration;
 import org.marjoramsail.daemon.request.NewRequest;
@@ -52,7 +52,7 @@
   private final ForwardServerDependencies dependencies;
   private final ForwardDependencies exchangePeers;
   private final RefusalWriter refusals;
-  private final AnswerTimes answerTimes = new AnswerTimes();
+  private final PlainResponseTimes plainResponseTimes = new PlainResponseTimes();
   private final Set<HttpConnection> connections = new HashSet<>();
   private final Set<HttpConnection> busy = new HashSet<>();
   private HttpServer server;
@@ -82,7 +82,7 @@
             dependencies.aliveness(),
             dependencies.feedback(),
             this::learn,
-            answerTimes::learn,
+            plainResponseTimes::learn,
             closing,
             refusals,
             dependencies.clock());
@@ -278,7 +278,8 @@
             .register(
                 new NewRequest(
                     profile,
-                    ForwardingRules.policyOf(route, answerTimes.overdueMillis(profile.service())),
+                    ForwardingRules.policyOf(
+                        route, plainResponseTimes.overdueMillis(profile.service())),
                     exchange,
                     Optional.empty(),
                     route.gapTargetMillis(),
--- a/daemon/src/main/java/org/marjoramsail/daemon/order/HttpEngineOrders.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/order/HttpEngineOrders.java
@@ -136,7 +136,7 @@
       UpstreamDefinition upstream, String path, HttpClientResponse response) {
     if (response.statusCode() != OK) {
       String detail = path + " answered " + response.statusCode() + "; allowed: " + OK;
-      return Future.failedFuture(new EngineAnswerException(upstream.name(), detail, null));
+      return Future.failedFuture(new EngineResponseException(upstream.name(), detail, null));
     }
     return response
         .body()
@@ -147,7 +147,7 @@
               } catch (IOException malformed) {
                 String detail = path + " answered no JSON";
                 return Future.failedFuture(
-                    new EngineAnswerException(upstream.name(), detail, malformed));
+                    new EngineResponseException(upstream.name(), detail, malformed));
               }
             });
   }
@@ -174,7 +174,7 @@
       return Future.succeededFuture(new Reading(state, status.path("ageMillis").asLong()));
     } catch (IllegalArgumentException unknownWord) {
       String detail = "an unknown word in the answer: " + unknownWord.getMessage();
-      return Future.failedFuture(new EngineAnswerException(upstream.name(), detail, unknownWord));
+      return Future.failedFuture(new EngineResponseException(upstream.name(), detail, unknownWord));
     }
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/ActionRunner.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/ActionRunner.java
@@ -51,7 +51,7 @@
     } else if (action instanceof LifecycleAction.Complete complete) {
       meter.completed();
       sink.complete(complete.completion());
-    } else if (action instanceof LifecycleAction.DeliverAnswer deliver) {
+    } else if (action instanceof LifecycleAction.DeliverResponse deliver) {
       deliver(deliver.attempt());
     } else if (action instanceof LifecycleAction.Refuse refuse) {
       meter.refused(refuse.refusal());
@@ -98,7 +98,7 @@
   }
 
   private void deliver(int attempt) {
-    meter.plainAnswered();
+    meter.plainResponseReceived();
     sender.deliver(attempt);
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/CallerSink.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/CallerSink.java
@@ -2,7 +2,7 @@
 
 import org.marjoramsail.core.failure.Refusal;
 import org.marjoramsail.core.outcome.Completion;
-import org.marjoramsail.daemon.upstream.PlainAnswer;
+import org.marjoramsail.daemon.upstream.PlainResponse;
 
 /** Where a request's answer goes; called on the request's own executor, in order. */
 public interface CallerSink {
@@ -14,7 +14,7 @@
   void complete(Completion completion);
 
   /** Handles the answer of a plain service. */
-  void answer(PlainAnswer answer);
+  void answer(PlainResponse answer);
 
   /** Handles an end without the whole answer. */
   void refuse(Refusal refusal);
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/CompletionSender.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/CompletionSender.java
@@ -14,16 +14,16 @@
 import org.marjoramsail.daemon.upstream.DecodeListener;
 import org.marjoramsail.daemon.upstream.DecodeOrder;
 import org.marjoramsail.daemon.upstream.KvLocation;
-import org.marjoramsail.daemon.upstream.PlainAnswer;
 import org.marjoramsail.daemon.upstream.PlainOrder;
-import org.marjoramsail.daemon.upstream.PrefillAnswer;
+import org.marjoramsail.daemon.upstream.PlainResponse;
 import org.marjoramsail.daemon.upstream.PrefillOrder;
+import org.marjoramsail.daemon.upstream.PrefillResponse;
 import org.marjoramsail.daemon.upstream.UpstreamEndpoint;
 
 /** Sends what callers of the completions interface and of plain services ask for. */
 public final class CompletionSender implements AttemptSender {
 
-  private record Answer(int attempt, PlainAnswer answer) {}
+  private record Answer(int attempt, PlainResponse answer) {}
 
   private final RequestProfile profile;
   private final RequestContent content;
@@ -78,7 +78,7 @@
                     failure -> failed(send.attempt(), send.upstream(), failure, events)));
   }
 
-  private static LifecycleEvent prefilled(int attempt, PrefillAnswer prefilled) {
+  private static LifecycleEvent prefilled(int attempt, PrefillResponse prefilled) {
     return new LifecycleEvent.Prefilled(
         attempt,
         prefilled.handle(),
@@ -172,13 +172,14 @@
                         known,
                         order,
                         !profile.repeatability().isResendable(),
-                        got -> plainAnswered(send.attempt(), got, events),
+                        got -> plainResponseReceived(send.attempt(), got, events),
                         failure -> failed(send.attempt(), send.upstream(), failure, events)));
   }
 
-  private void plainAnswered(int attempt, PlainAnswer got, Consumer<LifecycleEvent> events) {
+  private void plainResponseReceived(
+      int attempt, PlainResponse got, Consumer<LifecycleEvent> events) {
     answer = Optional.of(new Answer(attempt, got));
-    events.accept(new LifecycleEvent.PlainAnswered(attempt));
+    events.accept(new LifecycleEvent.PlainResponseReceived(attempt));
   }
 
   @Override
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestMeter.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestMeter.java
@@ -42,7 +42,7 @@
     metrics.completed(isWithinTargets());
   }
 
-  void plainAnswered() {
+  void plainResponseReceived() {
     long nowMillis = clock.millis();
     metrics.plainAnswer(nowMillis - profile.receivedAtMillis());
     metrics.completed(nowMillis <= profile.firstTokenAtMillis());
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/Tracing.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/Tracing.java
@@ -77,7 +77,7 @@
       Optional<String> reason = Optional.of(refuse.refusal().reason().code());
       trace.add(nowMillis, TraceKind.REFUSED, attempt, Optional.empty(), reason);
     } else if (action instanceof LifecycleAction.Complete
-        || action instanceof LifecycleAction.DeliverAnswer) {
+        || action instanceof LifecycleAction.DeliverResponse) {
       add(trace, nowMillis, TraceKind.COMPLETED, attempt, Optional.empty());
     }
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/EngineClient.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/EngineClient.java
@@ -60,7 +60,7 @@
   public UpstreamCall prefill(
       UpstreamEndpoint endpoint,
       PrefillOrder order,
-      Consumer<PrefillAnswer> answered,
+      Consumer<PrefillResponse> answered,
       Consumer<UpstreamFailure> failed) {
     UpstreamCall call = new UpstreamCall();
     Consumer<UpstreamFailure> failedOnce = once(call, failed);
@@ -79,15 +79,15 @@
       HttpClientResponse response,
       Buffer body,
       UpstreamCall call,
-      Consumer<PrefillAnswer> answered,
+      Consumer<PrefillResponse> answered,
       Consumer<UpstreamFailure> failed) {
     if (response.statusCode() != OK) {
       failed.accept(RefusalBody.failure(json, response.statusCode(), body));
       return;
     }
-    PrefillAnswer answer;
+    PrefillResponse answer;
     try {
-      answer = json.readValue(body.getBytes(), PrefillAnswer.class);
+      answer = json.readValue(body.getBytes(), PrefillResponse.class);
     } catch (IOException malformed) {
       failed.accept(UpstreamFailure.MALFORMED);
       return;
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/PlainClient.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/PlainClient.java
@@ -57,7 +57,7 @@
       UpstreamEndpoint endpoint,
       PlainOrder order,
       boolean fresh,
-      Consumer<PlainAnswer> answered,
+      Consumer<PlainResponse> answered,
       Consumer<UpstreamFailure> failed) {
     UpstreamCall call = new UpstreamCall();
     Consumer<UpstreamFailure> failedOnce =
@@ -107,7 +107,7 @@
       HttpClientResponse response,
       Buffer body,
       UpstreamCall call,
-      Consumer<PlainAnswer> answered,
+      Consumer<PlainResponse> answered,
       Consumer<UpstreamFailure> failed) {
     boolean notRun =
         response.statusCode() == UNAVAILABLE
@@ -119,7 +119,7 @@
     if (call.finish()) {
       MultiMap headers = MultiMap.caseInsensitiveMultiMap();
       copyEndToEnd(response.headers(), headers);
-      answered.accept(new PlainAnswer(response.statusCode(), headers, body));
+      answered.accept(new PlainResponse(response.statusCode(), headers, body));
     }
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/PlainAnswer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/PlainResponse.java
@@ -10,4 +10,4 @@
  * @param headers its headers that are passed on
  * @param body its body
  */
-public record PlainAnswer(int status, MultiMap headers, Buffer body) {}
+public record PlainResponse(int status, MultiMap headers, Buffer body) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/PrefillAnswer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/PrefillResponse.java
@@ -12,5 +12,5 @@
  * @param lifetimeMillis how long the KV cache lives
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
-public record PrefillAnswer(
+public record PrefillResponse(
     String handle, int promptTokens, int cachedTokens, long tookMillis, long lifetimeMillis) {}
--- a/standin/src/main/java/org/marjoramsail/standin/engine/EngineHttp.java
+++ b/standin/src/main/java/org/marjoramsail/standin/engine/EngineHttp.java
@@ -83,7 +83,7 @@
     PrefillBody asked = body.get();
     EngineModel engine = model.get();
     AttemptKey key = new AttemptKey(asked.request(), asked.attempt());
-    EngineAnswer answer = answerFor(key, context, engine);
+    EngineResponse answer = answerFor(key, context, engine);
     HeldAttempt attempt =
         HeldAttempt.prefill(
             key,
@@ -104,7 +104,7 @@
     DecodeBody asked = body.get();
     EngineModel engine = model.get();
     AttemptKey key = new AttemptKey(asked.request(), asked.attempt());
-    EngineAnswer answer = answerFor(key, context, engine);
+    EngineResponse answer = answerFor(key, context, engine);
     HeldAttempt attempt =
         HeldAttempt.decode(
             key,
@@ -119,9 +119,9 @@
     accept(context, engine, attempt, asked.model());
   }
 
-  private EngineAnswer answerFor(AttemptKey key, RoutingContext context, EngineModel engine) {
+  private EngineResponse answerFor(AttemptKey key, RoutingContext context, EngineModel engine) {
     KvFetcher fetcher = new KvFetcher(client, engine, faults);
-    return new EngineAnswer(key, context.response(), json, fetcher, settings.timings());
+    return new EngineResponse(key, context.response(), json, fetcher, settings.timings());
   }
 
   private void accept(
--- a/standin/src/main/java/org/marjoramsail/standin/engine/EngineAnswer.java
+++ b/standin/src/main/java/org/marjoramsail/standin/engine/EngineResponse.java
@@ -5,7 +5,7 @@
 import org.marjoramsail.standin.server.Json;
 
 /** The answer to a prefill or a decode, written as the model goes along. */
-final class EngineAnswer implements AttemptSink {
+final class EngineResponse implements AttemptSink {
 
   private static final String NDJSON = "application/x-ndjson";
   private static final byte NEWLINE = '\n';
@@ -19,7 +19,7 @@
   private boolean streaming;
   private boolean complete;
 
-  EngineAnswer(
+  EngineResponse(
       AttemptKey key,
       HttpServerResponse response,
       Json json,
--- a/standin/src/main/java/org/marjoramsail/standin/load/Exchange.java
+++ b/standin/src/main/java/org/marjoramsail/standin/load/Exchange.java
@@ -23,7 +23,7 @@
   private static final int FIRST_ERROR_STATUS = 400;
 
   private final PlannedRequest request;
-  private final ExpectedAnswer expected;
+  private final ExpectedResponse expected;
   private final ObjectMapper mapper;
   private final LongSupplier sincePlanned;
   private final CompletionCheck check;
@@ -37,7 +37,7 @@
 
   Exchange(
       PlannedRequest request,
-      ExpectedAnswer expected,
+      ExpectedResponse expected,
       ObjectMapper mapper,
       LongSupplier sincePlanned) {
     this.request = request;
--- a/standin/src/main/java/org/marjoramsail/standin/load/ExpectedAnswer.java
+++ b/standin/src/main/java/org/marjoramsail/standin/load/ExpectedResponse.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /** Says what the stand-ins answer, so that each answer can be checked. */
-public interface ExpectedAnswer {
+public interface ExpectedResponse {
 
   /** The texts of the tokens of a request's whole completion, in their order. */
   List<String> completion(PlannedRequest request);
--- a/standin/src/main/java/org/marjoramsail/standin/load/LoadLane.java
+++ b/standin/src/main/java/org/marjoramsail/standin/load/LoadLane.java
@@ -25,7 +25,7 @@
   private final List<PlannedRequest> requests;
   private final long start;
   private final Clock clock;
-  private final ExpectedAnswer expected;
+  private final ExpectedResponse expected;
   private final ObjectMapper mapper;
   private final LoadRunnerOptions options;
   private final LoadListener listener;
@@ -37,7 +37,7 @@
       List<PlannedRequest> requests,
       long start,
       Clock clock,
-      ExpectedAnswer expected,
+      ExpectedResponse expected,
       ObjectMapper mapper,
       LoadRunnerOptions options,
       LoadListener listener) {
--- a/standin/src/main/java/org/marjoramsail/standin/load/LoadRunner.java
+++ b/standin/src/main/java/org/marjoramsail/standin/load/LoadRunner.java
@@ -18,12 +18,13 @@
 
   private final Vertx vertx;
   private final Clock clock;
-  private final ExpectedAnswer expected;
+  private final ExpectedResponse expected;
   private final LoadRunnerOptions options;
   private final ObjectMapper mapper = new ObjectMapper();
 
   /** Creates an instance with what it runs on, its clock, and what the right answers are. */
-  public LoadRunner(Vertx vertx, Clock clock, ExpectedAnswer expected, LoadRunnerOptions options) {
+  public LoadRunner(
+      Vertx vertx, Clock clock, ExpectedResponse expected, LoadRunnerOptions options) {
     this.vertx = vertx;
     this.clock = clock;
     this.expected = expected;
--- a/standin/src/main/java/org/marjoramsail/standin/load/StandInAnswers.java
+++ b/standin/src/main/java/org/marjoramsail/standin/load/StandInResponses.java
@@ -9,7 +9,7 @@
 import org.marjoramsail.standin.engine.TokenText;
 
 /** What the project's own stand-ins answer. */
-public final class StandInAnswers implements ExpectedAnswer {
+public final class StandInResponses implements ExpectedResponse {
 
   private final ObjectMapper mapper = new ObjectMapper();
 
--- a/standin/src/main/java/org/marjoramsail/standin/platform/Answers.java
+++ b/standin/src/main/java/org/marjoramsail/standin/platform/JsonResponses.java
@@ -6,11 +6,11 @@
 import org.marjoramsail.standin.platform.StoreException.Reason;
 
 /** Writes JSON answers and failures in the Kubernetes style. */
-final class Answers {
+final class JsonResponses {
 
   private static final String RETRY_AFTER_SECONDS = "1";
 
-  private Answers() {}
+  private JsonResponses() {}
 
   static void send(HttpServerResponse response, int code, ObjectNode answer) {
     if (response.closed() || response.ended()) {
--- a/standin/src/main/java/org/marjoramsail/standin/platform/ObjectApiHandler.java
+++ b/standin/src/main/java/org/marjoramsail/standin/platform/ObjectApiHandler.java
@@ -69,9 +69,9 @@
         request.connection().close();
         return;
       }
-      Answers.send(request.response(), target.verb() == CallVerb.CREATE ? 201 : 200, answer);
+      JsonResponses.send(request.response(), target.verb() == CallVerb.CREATE ? 201 : 200, answer);
     } catch (StoreException failure) {
-      Answers.fail(request.response(), failure);
+      JsonResponses.fail(request.response(), failure);
     }
   }
 
--- a/standin/src/main/java/org/marjoramsail/standin/platform/PlatformStandIn.java
+++ b/standin/src/main/java/org/marjoramsail/standin/platform/PlatformStandIn.java
@@ -154,7 +154,7 @@
     } else if (path.startsWith(WEIGHTS_PATH) && request.method().equals(HttpMethod.GET)) {
       weights.handle(request.response());
     } else {
-      Answers.fail(
+      JsonResponses.fail(
           request.response(), new StoreException(Reason.NOT_FOUND, "There is nothing at " + path));
     }
   }
@@ -163,7 +163,7 @@
     if (settings.outageMode() == OutageMode.HANGS) {
       return;
     }
-    Answers.fail(
+    JsonResponses.fail(
         request.response(), new StoreException(Reason.UNAVAILABLE, "The platform is down."));
   }
 
@@ -171,6 +171,6 @@
     ObjectNode answer = mapper.createObjectNode();
     answer.set("hosts", mapper.valueToTree(hostList.visible()));
     answer.put("ageMillis", settings.hostListLag().lagMillis());
-    Answers.send(response, 200, answer);
+    JsonResponses.send(response, 200, answer);
   }
 }
--- a/standin/src/test/java/org/marjoramsail/standin/load/LoadRunnerTest.java
+++ b/standin/src/test/java/org/marjoramsail/standin/load/LoadRunnerTest.java
@@ -24,8 +24,8 @@
   private static final LoadTarget UNREACHABLE =
       new LoadTarget("unreachable", "127.0.0.1", 1, Optional.empty());
 
-  private final ExpectedAnswer expected =
-      new ExpectedAnswer() {
+  private final ExpectedResponse expected =
+      new ExpectedResponse() {
         @Override
         public List<String> completion(PlannedRequest request) {
           return FakeTarget.TOKENS;
