--- a/daemon/src/main/java/org/marjoramsail/daemon/request/CompletionSender.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/CompletionSender.java
@@ -12,11 +12,11 @@
 import org.marjoramsail.core.outcome.UpstreamFailure;
 import org.marjoramsail.daemon.upstream.DecodeFrame;
 import org.marjoramsail.daemon.upstream.DecodeListener;
-import org.marjoramsail.daemon.upstream.DecodeOrder;
+import org.marjoramsail.daemon.upstream.DecodeRequest;
 import org.marjoramsail.daemon.upstream.KvLocation;
-import org.marjoramsail.daemon.upstream.PlainOrder;
+import org.marjoramsail.daemon.upstream.PlainRequest;
 import org.marjoramsail.daemon.upstream.PlainResponse;
-import org.marjoramsail.daemon.upstream.PrefillOrder;
+import org.marjoramsail.daemon.upstream.PrefillRequest;
 import org.marjoramsail.daemon.upstream.PrefillResponse;
 import org.marjoramsail.daemon.upstream.UpstreamEndpoint;
 
@@ -58,8 +58,8 @@
       LifecycleAction.SendPrefill send, Consumer<LifecycleEvent> events) {
     RequestContent.Generation generation = (RequestContent.Generation) content;
     Optional<UpstreamEndpoint> endpoint = endpoint(send.upstream(), send.attempt(), events);
-    PrefillOrder order =
-        new PrefillOrder(
+    PrefillRequest order =
+        new PrefillRequest(
             profile.id(),
             send.attempt(),
             profile.entry().host(),
@@ -93,8 +93,8 @@
       LifecycleAction.SendDecode send, Consumer<LifecycleEvent> events) {
     RequestContent.Generation generation = (RequestContent.Generation) content;
     Optional<UpstreamEndpoint> endpoint = endpoint(send.upstream(), send.attempt(), events);
-    DecodeOrder order =
-        new DecodeOrder(
+    DecodeRequest order =
+        new DecodeRequest(
             profile.id(),
             send.attempt(),
             profile.entry().host(),
@@ -155,8 +155,8 @@
   public Optional<OpenCall> sendPlain(
       LifecycleAction.SendPlain send, Consumer<LifecycleEvent> events) {
     RequestContent.Plain plain = (RequestContent.Plain) content;
-    PlainOrder order =
-        new PlainOrder(
+    PlainRequest order =
+        new PlainRequest(
             profile.id(),
             send.attempt(),
             plain.method(),
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/DecodeOrder.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/DecodeRequest.java
@@ -20,7 +20,7 @@
  * @param kv where the KV cache is
  */
 @JsonInclude(JsonInclude.Include.NON_ABSENT)
-public record DecodeOrder(
+public record DecodeRequest(
     RequestId request,
     int attempt,
     String daemon,
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/EngineClient.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/EngineClient.java
@@ -59,7 +59,7 @@
    */
   public UpstreamCall prefill(
       UpstreamEndpoint endpoint,
-      PrefillOrder order,
+      PrefillRequest order,
       Consumer<PrefillResponse> answered,
       Consumer<UpstreamFailure> failed) {
     UpstreamCall call = new UpstreamCall();
@@ -104,7 +104,7 @@
    * @param listener hears the stream
    */
   public UpstreamCall decode(
-      UpstreamEndpoint endpoint, DecodeOrder order, boolean fresh, DecodeListener listener) {
+      UpstreamEndpoint endpoint, DecodeRequest order, boolean fresh, DecodeListener listener) {
     UpstreamCall call = new UpstreamCall();
     Consumer<UpstreamFailure> failed = once(call, listener::failed);
     post(endpoint, "/v1/decode", order, fresh, call, failed)
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/PlainClient.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/PlainClient.java
@@ -55,7 +55,7 @@
    */
   public UpstreamCall send(
       UpstreamEndpoint endpoint,
-      PlainOrder order,
+      PlainRequest order,
       boolean fresh,
       Consumer<PlainResponse> answered,
       Consumer<UpstreamFailure> failed) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/PlainOrder.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/PlainRequest.java
@@ -14,5 +14,5 @@
  * @param headers the caller's headers that are passed on
  * @param body the caller's body
  */
-public record PlainOrder(
+public record PlainRequest(
     RequestId request, int attempt, String method, String path, MultiMap headers, Buffer body) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/PrefillOrder.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/PrefillRequest.java
@@ -13,7 +13,7 @@
  * @param priority zero for the most urgent
  * @param prompt the prompt
  */
-public record PrefillOrder(
+public record PrefillRequest(
     RequestId request,
     int attempt,
     String daemon,
--- a/daemon/src/test/java/org/marjoramsail/daemon/upstream/EngineClientTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/upstream/EngineClientTest.java
@@ -58,8 +58,8 @@
 
   private static void decode(EngineClient engines, List<UpstreamFailure> failures) {
     UpstreamEndpoint endpoint = new UpstreamEndpoint(new UpstreamName("decode-1"), "127.0.0.1", 1);
-    DecodeOrder order =
-        new DecodeOrder(
+    DecodeRequest order =
+        new DecodeRequest(
             new RequestId("q1"),
             1,
             "entry-1",
--- a/daemon/src/test/java/org/marjoramsail/daemon/upstream/OrphanCancellerTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/upstream/OrphanCancellerTest.java
@@ -65,8 +65,8 @@
   }
 
   private void generate(String daemon, long incarnation, String request) {
-    DecodeOrder order =
-        new DecodeOrder(
+    DecodeRequest order =
+        new DecodeRequest(
             new RequestId(request),
             1,
             daemon,
