--- a/core/src/main/java/org/marjoramsail/core/discovery/UpstreamBeliefs.java
+++ b/core/src/main/java/org/marjoramsail/core/discovery/DiscoveredUpstreams.java
@@ -23,7 +23,7 @@
  *
  * <p>Not safe for several threads; the shell calls it on one.
  */
-public final class UpstreamBeliefs {
+public final class DiscoveredUpstreams {
 
   /** How long after an outage a missing entry may still come back, in milliseconds. */
   public static final long RETURN_MILLIS = 2_000;
@@ -44,7 +44,7 @@
   private long heardAtMillis;
 
   /** Starts with nothing known. */
-  public UpstreamBeliefs() {}
+  public DiscoveredUpstreams() {}
 
   /** Records that the list could not be read. */
   public void lost() {
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamRateLimit.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamRateLimit.java
@@ -30,7 +30,7 @@
   private long endedAt = NEVER;
 
   /** The one of the next life of the upstream, which has said nothing yet. */
-  UpstreamRateLimit ofNextLife() {
+  UpstreamRateLimit forNextIncarnation() {
     UpstreamRateLimit next = new UpstreamRateLimit();
     next.fleetShare = fleetShare;
     return next;
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
@@ -150,7 +150,7 @@
     refusedUntil = NEVER;
     reportedLeaving = false;
     statedLeaving = false;
-    limit = limit.ofNextLife();
+    limit = limit.forNextIncarnation();
     foreign = 0;
     foreignTokens = 0;
     ejection = new EjectionState(settings);
--- a/core/src/test/java/org/marjoramsail/core/discovery/UpstreamBeliefsTest.java
+++ b/core/src/test/java/org/marjoramsail/core/discovery/DiscoveredUpstreamsTest.java
@@ -8,11 +8,11 @@
 import org.marjoramsail.core.model.UpstreamName;
 import org.marjoramsail.core.model.UpstreamRole;
 
-class UpstreamBeliefsTest {
+class DiscoveredUpstreamsTest {
 
   private static final long BACK = 10_000;
 
-  private final UpstreamBeliefs beliefs = new UpstreamBeliefs();
+  private final DiscoveredUpstreams beliefs = new DiscoveredUpstreams();
 
   @Test
   void nothingIsKnownBeforeTheFirstList() {
@@ -35,7 +35,7 @@
     assertThat(names()).containsExactlyInAnyOrder("a", "b");
 
     beliefs.changed(listed("a", 9, false), BACK + 1_500);
-    assertThat(beliefs.tick(BACK + UpstreamBeliefs.RETURN_MILLIS)).isTrue();
+    assertThat(beliefs.tick(BACK + DiscoveredUpstreams.RETURN_MILLIS)).isTrue();
     assertThat(names()).containsExactly("a");
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardDependencies.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardDependencies.java
@@ -14,7 +14,7 @@
  * @param connections the way to upstreams
  * @param upstreams finds upstreams by name
  * @param handleMillis how long KV caches of a service live, in milliseconds
- * @param aliveness hears signs of life
+ * @param liveness hears signs of life
  * @param feedback hears what upstreams say of themselves
  * @param completions hears how long streams are
  * @param plainResponseTimes hears how long plain answers of a service take, in milliseconds
@@ -27,7 +27,7 @@
     UpstreamConnections connections,
     Function<UpstreamName, Optional<UpstreamDefinition>> upstreams,
     Function<String, Long> handleMillis,
-    Aliveness aliveness,
+    LivenessListener liveness,
     UpstreamFeedbackRecorder feedback,
     Completions completions,
     ObjLongConsumer<String> plainResponseTimes,
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -79,7 +79,7 @@
             new UpstreamConnections(vertx, dependencies.clock()),
             dependencies.upstreams(),
             dependencies.handleMillis(),
-            dependencies.aliveness(),
+            dependencies.liveness(),
             dependencies.feedback(),
             this::learn,
             plainResponseTimes::learn,
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServerDependencies.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServerDependencies.java
@@ -24,7 +24,7 @@
  * @param upstreams finds upstreams by name
  * @param handleMillis how long KV caches of a service live, in milliseconds
  * @param tokensPerEvent how many tokens an event of a service's streams carries
- * @param aliveness hears signs of life
+ * @param liveness hears signs of life
  * @param feedback hears what upstreams say of themselves
  * @param forecast foretells how long answers will be
  * @param refused hears of requests that are refused before they are registered
@@ -39,7 +39,7 @@
     Function<UpstreamName, Optional<UpstreamDefinition>> upstreams,
     Function<String, Long> handleMillis,
     Function<String, Integer> tokensPerEvent,
-    Aliveness aliveness,
+    LivenessListener liveness,
     UpstreamFeedbackRecorder feedback,
     OutputForecast forecast,
     Consumer<Refusal> refused,
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingState.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingState.java
@@ -8,8 +8,8 @@
 import java.util.stream.Collectors;
 import org.marjoramsail.core.configuration.Configuration;
 import org.marjoramsail.core.configuration.UpstreamDefinition;
+import org.marjoramsail.core.discovery.DiscoveredUpstreams;
 import org.marjoramsail.core.discovery.ListedUpstream;
-import org.marjoramsail.core.discovery.UpstreamBeliefs;
 import org.marjoramsail.core.model.Incarnation;
 import org.marjoramsail.core.model.UpstreamName;
 import org.marjoramsail.core.model.UpstreamRole;
@@ -29,7 +29,7 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(ForwardingState.class);
 
-  private final UpstreamBeliefs beliefs = new UpstreamBeliefs();
+  private final DiscoveredUpstreams beliefs = new DiscoveredUpstreams();
   private final Clock clock;
   private final Consumer<Configuration> pools;
   private final Consumer<Incarnation> lives;
@@ -191,7 +191,7 @@
   }
 
   /** Records that the list of upstreams was heard from without news. */
-  public void upstreamsHeard() {
+  public void upstreamListResponded() {
     upstreamsBack();
     beliefs.heard(clock.millis());
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/Aliveness.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/LivenessListener.java
@@ -4,7 +4,7 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /** Hears signs of life of upstreams, which tell a crash from a lost answer. */
-public interface Aliveness {
+public interface LivenessListener {
 
   /**
    * An upstream answered something that was sent at that moment or later.
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamLives.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamLiveness.java
@@ -9,9 +9,9 @@
 import org.slf4j.LoggerFactory;
 
 /** Tells of signs of life, of crashes and of upstreams that have started again under their name. */
-public final class UpstreamLives implements Aliveness {
+public final class UpstreamLiveness implements LivenessListener {
 
-  private static final Logger LOG = LoggerFactory.getLogger(UpstreamLives.class);
+  private static final Logger LOG = LoggerFactory.getLogger(UpstreamLiveness.class);
 
   /** Stands for the start of an upstream that does not say when it started. */
   private static final long FIRST_START_MILLIS = 1;
@@ -30,7 +30,7 @@
    * @param clock tells the time
    * @param startedAgain hears of upstreams on which all that ran is over
    */
-  public UpstreamLives(Quarantine quarantine, Clock clock, Consumer<UpstreamName> startedAgain) {
+  public UpstreamLiveness(Quarantine quarantine, Clock clock, Consumer<UpstreamName> startedAgain) {
     this.quarantine = quarantine;
     this.clock = clock;
     this.startedAgain = startedAgain;
--- a/daemon/src/test/java/org/marjoramsail/daemon/forward/UpstreamLivesTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/forward/UpstreamLivenessTest.java
@@ -12,7 +12,7 @@
 import org.marjoramsail.core.outcome.Suspicion;
 import org.marjoramsail.core.time.ManualClock;
 
-class UpstreamLivesTest {
+class UpstreamLivenessTest {
 
   private static final UpstreamName ENGINE = new UpstreamName("i-1");
   private static final long CONTENT = 7;
@@ -20,7 +20,7 @@
   private final ManualClock clock = new ManualClock(10_000);
   private final Quarantine quarantine = new Quarantine(60_000, 500, 100);
   private final List<UpstreamName> startedAgain = new ArrayList<>();
-  private final UpstreamLives lives = new UpstreamLives(quarantine, clock, startedAgain::add);
+  private final UpstreamLiveness lives = new UpstreamLiveness(quarantine, clock, startedAgain::add);
 
   @Test
   void aLaterStartEndsWhatRanBefore() {
