--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
@@ -40,7 +40,7 @@
   private final AttemptLedger ledger;
   private final BackOff backOff;
   private final FinalResponse last = new FinalResponse();
-  private final SignTimes signs;
+  private final RequestProgress requestProgress;
   private final Set<UpstreamName> avoid = new LinkedHashSet<>();
   private List<LifecycleAction> actions = new ArrayList<>();
 
@@ -81,7 +81,7 @@
     this.ledger = new AttemptLedger(profile, invariants);
     this.backOff = new BackOff(policy, random);
     this.nowMillis = profile.receivedAtMillis();
-    this.signs = new SignTimes(profile.receivedAtMillis());
+    this.requestProgress = new RequestProgress(profile.receivedAtMillis());
   }
 
   /** The request. */
@@ -120,7 +120,7 @@
     Stream<Long> own =
         state == LifecycleState.ENDED
             ? Stream.empty()
-            : Stream.of(profile.deadlineAtMillis(), signs.stallAtMillis(), backOffEnds);
+            : Stream.of(profile.deadlineAtMillis(), requestProgress.stallAtMillis(), backOffEnds);
     return Stream.concat(own, held.nextRepeatMillis().stream()).min(Long::compare);
   }
 
@@ -196,7 +196,9 @@
   private PlacementRequest placementRequest(boolean alone) {
     // A place is of use until the deadline, or until the caller has waited too long for a sign.
     long usefulUntilMillis =
-        Math.min(profile.deadlineAtMillis(), signs.patientUntilMillis(policy.patienceMillis()));
+        Math.min(
+            profile.deadlineAtMillis(),
+            requestProgress.patientUntilMillis(policy.patienceMillis()));
     return new PlacementAsk(
             profile, attempt, generatedTokens(), usefulUntilMillis, kv.living(nowMillis))
         .at(nowMillis, alone ? suspects.avoided(avoid) : List.copyOf(avoid), alone);
@@ -230,14 +232,14 @@
   private void placeLater() {
     reportEnd(AttemptResult.CANCELLED, Optional.empty());
     state = LifecycleState.BACKING_OFF;
-    signs.expectNothing();
+    requestProgress.expectNothing();
     waitUntilMillis = nowMillis + UNSETTLED_RECHECK_MILLIS;
   }
 
   private void sendPrefill(Grant given) {
     UpstreamName upstream = given.prefill().orElseThrow();
     state = LifecycleState.PREFILLING;
-    signs.expectUntil(
+    requestProgress.expectUntil(
         nowMillis + ESTIMATE_FACTOR * given.expectedPrefillMillis() + policy.prefillStallMillis());
     held.add(attempt, upstream);
     suspects.began(attempt, upstream);
@@ -258,7 +260,7 @@
       return;
     }
     state = LifecycleState.GENERATING;
-    signs.began();
+    requestProgress.began();
     long estimateMillis = given.expectedPrefillMillis() + given.expectedTransferMillis();
     stallAfter(ESTIMATE_FACTOR * estimateMillis + policy.tokenStallMillis());
     ledger.sent(attempt);
@@ -274,7 +276,7 @@
     }
     state = LifecycleState.PLAIN_RUNNING;
     stallAfter(policy.answerStallMillis());
-    signs.asked(nowMillis);
+    requestProgress.asked(nowMillis);
     ledger.sent(attempt);
     suspects.began(attempt, given.target());
     actions.add(new LifecycleAction.SendPlain(attempt, given.target()));
@@ -337,7 +339,7 @@
     invariants.check(token.index() == nextIndex, Invariant.TOKENS_IN_ORDER, profile.id());
     invariants.check(!last.isGiven(), Invariant.SILENT_AFTER_END, profile.id());
     nextIndex++;
-    signs.piece(nowMillis);
+    requestProgress.piece(nowMillis);
     stallAfter(policy.tokenStallMillis());
     actions.add(new LifecycleAction.EmitToken(token.index(), token.text()));
   }
@@ -380,7 +382,7 @@
       drop(DropReason.LATE_EVENT);
       return;
     }
-    signs.answered(nowMillis);
+    requestProgress.answered(nowMillis);
     if (!last.isCallerGone()) {
       answer(new LifecycleAction.DeliverResponse(attempt));
     }
@@ -413,7 +415,7 @@
     }
     avoid.add(upstream);
     actions.add(new LifecycleAction.CountRetry(RetryReason.UPSTREAM_ERROR));
-    signs.expectNothing();
+    requestProgress.expectNothing();
     tryToPlace();
   }
 
@@ -524,7 +526,7 @@
       refuse(RefusalReason.DEADLINE_PASSED, "The deadline of the request has passed.");
     } else if (state == LifecycleState.BACKING_OFF && nowMillis >= waitUntilMillis) {
       tryToPlace();
-    } else if (state.isRunning() && nowMillis >= signs.stallAtMillis()) {
+    } else if (state.isRunning() && nowMillis >= requestProgress.stallAtMillis()) {
       failCurrent(UpstreamFailure.TIMED_OUT);
     }
   }
@@ -553,7 +555,7 @@
     boolean waiting = state == LifecycleState.PLACING;
     boolean cut = state.isRunning() && outcome != ClaimOutcome.COMPLETED;
     state = LifecycleState.ENDED;
-    signs.expectNothing();
+    requestProgress.expectNothing();
     if (cut) {
       actions.add(new LifecycleAction.CloseAttempt(attempt));
     }
@@ -576,15 +578,17 @@
   private void reportEnd(AttemptResult result, Optional<UpstreamName> failedUpstream) {
     if (grant.isPresent()) {
       grant = Optional.empty();
-      ledger.end(attempt, result, failedUpstream, generatedTokens(), signs).ifPresent(actions::add);
+      ledger
+          .end(attempt, result, failedUpstream, generatedTokens(), requestProgress)
+          .ifPresent(actions::add);
     }
   }
 
   /** Silence ends an attempt only where another may follow; else it is no reason to end sooner. */
   private void stallAfter(long millis) {
-    signs.expectNothing();
+    requestProgress.expectNothing();
     if (profile.repeatability().isResendable()) {
-      signs.expectUntil(nowMillis + millis);
+      requestProgress.expectUntil(nowMillis + millis);
     }
   }
 
--- a/core/src/main/java/org/marjoramsail/core/outcome/SignTimes.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestProgress.java
@@ -1,7 +1,7 @@
 package org.marjoramsail.core.outcome;
 
 /** When a request last gave its caller a sign, how long it paused, and when it is silent. */
-final class SignTimes {
+final class RequestProgress {
 
   private static final long NONE = Long.MIN_VALUE;
   private static final long NEVER = Long.MAX_VALUE;
@@ -18,7 +18,7 @@
    *
    * @param receivedAtMillis when that was
    */
-  SignTimes(long receivedAtMillis) {
+  RequestProgress(long receivedAtMillis) {
     this.lastSignMillis = receivedAtMillis;
   }
 
--- a/core/src/main/java/org/marjoramsail/core/placement/EntryPlacement.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/EntryPlacement.java
@@ -52,7 +52,7 @@
   private final DaemonId self;
   private final PlacementTimings timings;
   private final ShardDirectory directory;
-  private final OwnerSilence silence;
+  private final UnresponsiveOwners unresponsiveOwners;
   private final UpstreamFeedbackTable conditions;
   private final Map<RequestId, Entry> entries = new LinkedHashMap<>();
   private final Map<OwnedShard, Long> toldAt = new HashMap<>();
@@ -74,7 +74,7 @@
     this.timings = timings;
     this.directory = directory;
     this.conditions = conditions;
-    this.silence = new OwnerSilence(timings);
+    this.unresponsiveOwners = new UnresponsiveOwners(timings);
   }
 
   /** Registers an attempt with the owner of its shard. */
@@ -121,7 +121,7 @@
 
   /** Handles the word of an owner. */
   public List<EntryAction> heard(DaemonId from, PlacementMessage message, long nowMillis) {
-    silence.heard(from);
+    unresponsiveOwners.responded(from);
     if (message instanceof PlacementMessage.Granted granted) {
       return granted(from, granted);
     }
@@ -136,7 +136,7 @@
 
   /** Records that the connection to a daemon is gone: its shards move at once. */
   public List<EntryAction> lost(DaemonId owner, long nowMillis) {
-    silence.lost(owner, nowMillis);
+    unresponsiveOwners.disconnected(owner, nowMillis);
     return move(nowMillis);
   }
 
@@ -144,7 +144,7 @@
   public List<EntryAction> tick(long nowMillis) {
     List<EntryAction> actions = move(nowMillis);
     actions.addAll(holdingsDue(nowMillis));
-    silence.forgetExpired(nowMillis);
+    unresponsiveOwners.forgetExpired(nowMillis);
     return actions;
   }
 
@@ -289,14 +289,14 @@
 
   private EntryAction ask(DaemonId owner, PlacementMessage message, long nowMillis) {
     if (!owner.equals(self)) {
-      silence.asked(owner, nowMillis);
+      unresponsiveOwners.requested(owner, nowMillis);
     }
     return new EntryAction.Send(owner, message);
   }
 
   private DaemonId ownerOf(ShardId shard, long nowMillis) {
     for (DaemonId owner : directory.owners(shard)) {
-      if (owner.equals(self) || !silence.isSilent(owner, nowMillis)) {
+      if (owner.equals(self) || !unresponsiveOwners.isSilent(owner, nowMillis)) {
         return owner;
       }
     }
--- a/core/src/main/java/org/marjoramsail/core/placement/AwaitedSigns.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ProgressWatchdog.java
@@ -16,7 +16,7 @@
  * lost. A first sign is due long before that. One that gives signs of other requests meanwhile is
  * not silent: it is full, and the request waits there.
  */
-final class AwaitedSigns {
+final class ProgressWatchdog {
 
   /** How many times the expected time a first sign may take. */
   private static final int LARGEST_FACTOR = 2;
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardUpstreams.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardUpstreams.java
@@ -104,7 +104,9 @@
   }
 
   private boolean owesSign(UpstreamState upstream) {
-    return upstream.awaited().isOverdue(entry -> heardAt.getOrDefault(entry, Long.MIN_VALUE));
+    return upstream
+        .progressWatchdog()
+        .isOverdue(entry -> heardAt.getOrDefault(entry, Long.MIN_VALUE));
   }
 
   /** Forgets upstreams that are no longer configured and hold nothing of ours. */
--- a/core/src/main/java/org/marjoramsail/core/placement/OwnerSilence.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UnresponsiveOwners.java
@@ -11,26 +11,26 @@
  * longer than the bound. It is then passed over for a fixed time, so that requests do not move to
  * and fro.
  */
-final class OwnerSilence {
+final class UnresponsiveOwners {
 
   private final PlacementTimings timings;
   private final Map<DaemonId, Long> unansweredSince = new HashMap<>();
   private final Map<DaemonId, Long> silentUntil = new HashMap<>();
 
-  OwnerSilence(PlacementTimings timings) {
+  UnresponsiveOwners(PlacementTimings timings) {
     this.timings = timings;
   }
 
-  void asked(DaemonId owner, long nowMillis) {
+  void requested(DaemonId owner, long nowMillis) {
     unansweredSince.putIfAbsent(owner, nowMillis);
   }
 
-  void heard(DaemonId owner) {
+  void responded(DaemonId owner) {
     unansweredSince.remove(owner);
   }
 
   /** Records that the connection to an owner is gone, which tells more than waiting does. */
-  void lost(DaemonId owner, long nowMillis) {
+  void disconnected(DaemonId owner, long nowMillis) {
     unansweredSince.remove(owner);
     silentUntil.put(owner, nowMillis + timings.silenceHoldMillis());
   }
@@ -44,7 +44,7 @@
     if (since == null || nowMillis - since < timings.silenceMillis()) {
       return false;
     }
-    lost(owner, nowMillis);
+    disconnected(owner, nowMillis);
     return true;
   }
 
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
@@ -30,7 +30,7 @@
   private final MovingAverage besideMillisPerToken;
   private final MovingAverage overheadMillis;
   private final ReadingsBeside readingsBeside = new ReadingsBeside();
-  private final AwaitedSigns awaited = new AwaitedSigns();
+  private final ProgressWatchdog progressWatchdog = new ProgressWatchdog();
   private final Deque<Long> recentEnds = new ArrayDeque<>();
 
   private EjectionState ejection;
@@ -101,8 +101,8 @@
   }
 
   /** The requests that wait for their first sign here. */
-  AwaitedSigns awaited() {
-    return awaited;
+  ProgressWatchdog progressWatchdog() {
+    return progressWatchdog;
   }
 
   EjectionState ejection() {
