--- a/benchmark/src/main/java/org/marjoramsail/benchmark/FakeEngines.java
+++ b/benchmark/src/main/java/org/marjoramsail/benchmark/FakeEngines.java
@@ -13,7 +13,7 @@
 import org.marjoramsail.core.model.UpstreamName;
 import org.marjoramsail.core.model.UpstreamRole;
 import org.marjoramsail.core.placement.LoadReport;
-import org.marjoramsail.core.placement.PrefixMarks;
+import org.marjoramsail.core.placement.SampledPrefixHashes;
 import org.marjoramsail.core.time.ManualClock;
 
 /**
@@ -132,7 +132,7 @@
         return 0;
       }
       Integer known = cache.put(hashes.get(0), promptTokens);
-      int blocks = PrefixMarks.blocks(hashes.size() - 1) * Workload.BLOCK_TOKENS;
+      int blocks = SampledPrefixHashes.blocks(hashes.size() - 1) * Workload.BLOCK_TOKENS;
       return known == null ? 0 : Math.min(blocks, Math.min(known, promptTokens));
     }
 
--- a/benchmark/src/main/java/org/marjoramsail/benchmark/Workload.java
+++ b/benchmark/src/main/java/org/marjoramsail/benchmark/Workload.java
@@ -8,7 +8,7 @@
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.model.ServiceClass;
 import org.marjoramsail.core.placement.PlacementRequest;
-import org.marjoramsail.core.placement.PrefixMarks;
+import org.marjoramsail.core.placement.SampledPrefixHashes;
 
 /** Seeded open-loop arrivals: quick lookups, standard requests, long deferrable summaries. */
 final class Workload {
@@ -70,7 +70,7 @@
     boolean isRepeated = random.nextDouble() < REPEATED_SHARE;
     long story = isRepeated ? random.nextInt(STORIES) : STORIES + number;
     List<Long> hashes = new ArrayList<>();
-    for (int place = 0; PrefixMarks.blocks(place) <= prompt / BLOCK_TOKENS; place++) {
+    for (int place = 0; SampledPrefixHashes.blocks(place) <= prompt / BLOCK_TOKENS; place++) {
       hashes.add((story + 1) * 0x9E3779B97F4A7C15L + place * 0xD1B54A32D192ED03L);
     }
     return new PlacementRequest(
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestProfile.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestProfile.java
@@ -21,7 +21,7 @@
  * @param claimed whether a claim has to be recorded before the send
  * @param promptTokens length of the prompt; zero for plain services
  * @param outputTokens how many tokens at most it generates; zero for plain services
- * @param prefixHashes chained hashes of some of the prompt's blocks, see PrefixMarks
+ * @param prefixHashes chained hashes of some of the prompt's blocks, see SampledPrefixHashes
  * @param fingerprint hash of its content, see {@link Fingerprint}
  * @param receivedAtMillis when it arrived, on the clock of this daemon
  * @param firstTokenAtMillis when its first token is late, on the clock of this daemon
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementRequest.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementRequest.java
@@ -25,7 +25,7 @@
  * @param serviceClass its urgency
  * @param promptTokens length of the prompt; zero for plain services
  * @param outputTokens how many tokens at most it generates; zero for plain services
- * @param prefixHashes chained hashes of the prompt's {@linkplain PrefixMarks marks}
+ * @param prefixHashes chained hashes of the prompt's {@linkplain SampledPrefixHashes marks}
  * @param waitedMillis how long ago the request arrived
  * @param firstTokenWithinMillis how long until its first token is late
  * @param deadlineWithinMillis how long until its answer is useless
--- a/core/src/main/java/org/marjoramsail/core/placement/PrefixIndex.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PrefixIndex.java
@@ -57,7 +57,7 @@
   /** Removes the marks of a prompt that lie beyond so many leading blocks. */
   void removeBeyond(List<Long> marks, int leadingBlocks) {
     for (int place = 0; place < marks.size(); place++) {
-      if (PrefixMarks.blocks(place) > leadingBlocks) {
+      if (SampledPrefixHashes.blocks(place) > leadingBlocks) {
         remove(marks.get(place));
       }
     }
@@ -81,7 +81,7 @@
         beyond = middle;
       }
     }
-    return PrefixMarks.blocks(known - 1);
+    return SampledPrefixHashes.blocks(known - 1);
   }
 
   private boolean contains(long hash) {
--- a/core/src/main/java/org/marjoramsail/core/placement/PrefixMarks.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/SampledPrefixHashes.java
@@ -10,12 +10,12 @@
  * is cached, at the cost of taking up to a third of it for not cached. A message so grows with the
  * logarithm of its prompt.
  */
-public final class PrefixMarks {
+public final class SampledPrefixHashes {
 
   /** Enough for prompts of 32,768 tokens; what is longer counts as not cached. */
   private static final int MOST_MARKS = 22;
 
-  private PrefixMarks() {}
+  private SampledPrefixHashes() {}
 
   /** How many leading blocks the mark at a place covers; places count from zero. */
   public static int blocks(int place) {
--- a/core/src/test/java/org/marjoramsail/core/placement/PrefixMarksTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/SampledPrefixHashesTest.java
@@ -7,7 +7,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-final class PrefixMarksTest {
+final class SampledPrefixHashesTest {
 
   private static String words(int count) {
     return IntStream.range(0, count).mapToObj(n -> "w" + n).collect(Collectors.joining(" "));
@@ -15,7 +15,7 @@
 
   @Test
   void marksAreThePowersOfTwoAndTheirMiddles() {
-    assertThat(IntStream.range(0, 10).map(PrefixMarks::blocks))
+    assertThat(IntStream.range(0, 10).map(SampledPrefixHashes::blocks))
         .containsExactly(1, 2, 3, 4, 6, 8, 12, 16, 24, 32);
   }
 
@@ -24,13 +24,13 @@
     String prompt = words(7 * PrefixHasher.BLOCK_TOKENS);
     List<Long> hashes = PrefixHasher.hashes(prompt);
 
-    assertThat(PrefixMarks.of(prompt))
+    assertThat(SampledPrefixHashes.of(prompt))
         .containsExactly(hashes.get(0), hashes.get(1), hashes.get(2), hashes.get(3), hashes.get(5));
   }
 
   @Test
   void aPromptOfManyThousandTokensHasFewMarks() {
-    assertThat(PrefixMarks.of(words(50_000))).hasSize(22);
+    assertThat(SampledPrefixHashes.of(words(50_000))).hasSize(22);
   }
 
   @Test
@@ -38,13 +38,14 @@
     PrefixIndex index = new PrefixIndex();
     PrefixHasher.hashes(words(20 * PrefixHasher.BLOCK_TOKENS)).forEach(index::add);
 
-    assertThat(index.match(PrefixMarks.of(words(100 * PrefixHasher.BLOCK_TOKENS)))).isEqualTo(16);
+    assertThat(index.match(SampledPrefixHashes.of(words(100 * PrefixHasher.BLOCK_TOKENS))))
+        .isEqualTo(16);
   }
 
   @Test
   void marksBeyondWhatAnEngineHadAreTakenOut() {
     PrefixIndex index = new PrefixIndex();
-    List<Long> marks = PrefixMarks.of(words(100 * PrefixHasher.BLOCK_TOKENS));
+    List<Long> marks = SampledPrefixHashes.of(words(100 * PrefixHasher.BLOCK_TOKENS));
     index.addAll(marks);
     index.removeBeyond(marks, 5);
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/RequestFactory.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/RequestFactory.java
@@ -15,7 +15,7 @@
 import org.marjoramsail.core.outcome.Fingerprint;
 import org.marjoramsail.core.outcome.RequestProfile;
 import org.marjoramsail.core.placement.PrefixHasher;
-import org.marjoramsail.core.placement.PrefixMarks;
+import org.marjoramsail.core.placement.SampledPrefixHashes;
 import org.marjoramsail.daemon.request.ClaimRequest;
 import org.marjoramsail.daemon.request.RequestContent;
 
@@ -113,7 +113,7 @@
             claim.isPresent(),
             PrefixHasher.tokenCount(prompt),
             outputTokens,
-            PrefixMarks.of(prompt),
+            SampledPrefixHashes.of(prompt),
             fingerprint,
             arrival.receivedAtMillis(),
             arrival.receivedAtMillis() + rule.firstTokenTargetMillis(),
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ClosingMark.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ConnectionCloseHeader.java
@@ -4,11 +4,11 @@
 import java.util.function.BooleanSupplier;
 
 /** Tells callers not to use a connection again while this daemon stops. */
-final class ClosingMark {
+final class ConnectionCloseHeader {
 
   private final BooleanSupplier stopping;
 
-  ClosingMark(BooleanSupplier stopping) {
+  ConnectionCloseHeader(BooleanSupplier stopping) {
     this.stopping = stopping;
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardDependencies.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardDependencies.java
@@ -31,6 +31,6 @@
     UpstreamFeedbackRecorder feedback,
     Completions completions,
     ObjLongConsumer<String> plainResponseTimes,
-    ClosingMark closing,
+    ConnectionCloseHeader closing,
     RefusalWriter refusals,
     Clock clock) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -70,7 +70,7 @@
   public ForwardServer(Vertx vertx, ForwardServerDependencies dependencies, ObjectMapper json) {
     this.vertx = vertx;
     this.dependencies = dependencies;
-    ClosingMark closing = new ClosingMark(() -> stopping);
+    ConnectionCloseHeader closing = new ConnectionCloseHeader(() -> stopping);
     this.refusals =
         new RefusalWriter(dependencies.protocol(), json, dependencies.random(), closing);
     this.exchangePeers =
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/RefusalWriter.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/RefusalWriter.java
@@ -37,10 +37,13 @@
   private final ForwardingProtocol protocol;
   private final ObjectMapper json;
   private final RandomGenerator random;
-  private final ClosingMark closing;
+  private final ConnectionCloseHeader closing;
 
   RefusalWriter(
-      ForwardingProtocol protocol, ObjectMapper json, RandomGenerator random, ClosingMark closing) {
+      ForwardingProtocol protocol,
+      ObjectMapper json,
+      RandomGenerator random,
+      ConnectionCloseHeader closing) {
     this.protocol = protocol;
     this.json = json;
     this.random = random;
--- a/daemon/src/test/java/org/marjoramsail/daemon/placement/PlacementMessageFormatTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/placement/PlacementMessageFormatTest.java
@@ -23,7 +23,7 @@
 import org.marjoramsail.core.placement.GrantMode;
 import org.marjoramsail.core.placement.PlacementMessage;
 import org.marjoramsail.core.placement.PlacementRequest;
-import org.marjoramsail.core.placement.PrefixMarks;
+import org.marjoramsail.core.placement.SampledPrefixHashes;
 import org.marjoramsail.core.placement.ShardId;
 import org.marjoramsail.daemon.peer.PeerCodec;
 import org.marjoramsail.daemon.peer.PeerCodecException;
@@ -57,7 +57,7 @@
         ServiceClass.DEFERRABLE,
         promptTokens,
         113,
-        PrefixMarks.of(prompt),
+        SampledPrefixHashes.of(prompt),
         12,
         1_988,
         29_988,
