--- a/core/src/main/java/org/marjoramsail/core/outcome/AttemptLedger.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/AttemptLedger.java
@@ -112,7 +112,7 @@
       AttemptResult result,
       Optional<UpstreamName> failedUpstream,
       int outputTokens,
-      RequestProgress requestProgress) {
+      RequestProgress progress) {
     boolean first = endReported.add(attempt);
     if (!invariants.check(first, Invariant.ONE_END_REPORT, profile.id())) {
       return Optional.empty();
@@ -126,8 +126,8 @@
                 Optional.of(result),
                 failedUpstream,
                 0,
-                requestProgress.answerMillis(),
+                progress.answerMillis(),
                 outputTokens,
-                requestProgress.longestPauseMillis())));
+                progress.longestPauseMillis())));
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
@@ -40,7 +40,7 @@
   private final AttemptLedger ledger;
   private final BackOff backOff;
   private final FinalResponse last = new FinalResponse();
-  private final RequestProgress requestProgress;
+  private final RequestProgress progress;
   private final Set<UpstreamName> avoid = new LinkedHashSet<>();
   private List<LifecycleAction> actions = new ArrayList<>();
 
@@ -81,7 +81,7 @@
     this.ledger = new AttemptLedger(profile, invariants);
     this.backOff = new BackOff(policy, random);
     this.nowMillis = profile.receivedAtMillis();
-    this.requestProgress = new RequestProgress(profile.receivedAtMillis());
+    this.progress = new RequestProgress(profile.receivedAtMillis());
   }
 
   /** The request. */
@@ -120,7 +120,7 @@
     Stream<Long> own =
         state == LifecycleState.ENDED
             ? Stream.empty()
-            : Stream.of(profile.deadlineAtMillis(), requestProgress.stallAtMillis(), backOffEnds);
+            : Stream.of(profile.deadlineAtMillis(), progress.stallAtMillis(), backOffEnds);
     return Stream.concat(own, held.nextRepeatMillis().stream()).min(Long::compare);
   }
 
@@ -196,9 +196,7 @@
   private PlacementRequest placementRequest(boolean alone) {
     // A place is of use until the deadline, or until the caller has waited too long for a sign.
     long usefulUntilMillis =
-        Math.min(
-            profile.deadlineAtMillis(),
-            requestProgress.patientUntilMillis(policy.patienceMillis()));
+        Math.min(profile.deadlineAtMillis(), progress.patientUntilMillis(policy.patienceMillis()));
     return new PlacementAsk(
             profile, attempt, generatedTokens(), usefulUntilMillis, kv.living(nowMillis))
         .at(nowMillis, alone ? suspects.avoided(avoid) : List.copyOf(avoid), alone);
@@ -232,14 +230,14 @@
   private void placeLater() {
     reportEnd(AttemptResult.CANCELLED, Optional.empty());
     state = LifecycleState.BACKING_OFF;
-    requestProgress.expectNothing();
+    progress.expectNothing();
     waitUntilMillis = nowMillis + UNSETTLED_RECHECK_MILLIS;
   }
 
   private void sendPrefill(Grant given) {
     UpstreamName upstream = given.prefill().orElseThrow();
     state = LifecycleState.PREFILLING;
-    requestProgress.expectUntil(
+    progress.expectUntil(
         nowMillis + ESTIMATE_FACTOR * given.expectedPrefillMillis() + policy.prefillStallMillis());
     held.add(attempt, upstream);
     suspects.began(attempt, upstream);
@@ -260,7 +258,7 @@
       return;
     }
     state = LifecycleState.GENERATING;
-    requestProgress.began();
+    progress.began();
     long estimateMillis = given.expectedPrefillMillis() + given.expectedTransferMillis();
     stallAfter(ESTIMATE_FACTOR * estimateMillis + policy.tokenStallMillis());
     ledger.sent(attempt);
@@ -276,7 +274,7 @@
     }
     state = LifecycleState.PLAIN_RUNNING;
     stallAfter(policy.answerStallMillis());
-    requestProgress.asked(nowMillis);
+    progress.asked(nowMillis);
     ledger.sent(attempt);
     suspects.began(attempt, given.target());
     actions.add(new LifecycleAction.SendPlain(attempt, given.target()));
@@ -339,7 +337,7 @@
     invariants.check(token.index() == nextIndex, Invariant.TOKENS_IN_ORDER, profile.id());
     invariants.check(!last.isGiven(), Invariant.SILENT_AFTER_END, profile.id());
     nextIndex++;
-    requestProgress.piece(nowMillis);
+    progress.piece(nowMillis);
     stallAfter(policy.tokenStallMillis());
     actions.add(new LifecycleAction.EmitToken(token.index(), token.text()));
   }
@@ -382,7 +380,7 @@
       drop(DropReason.LATE_EVENT);
       return;
     }
-    requestProgress.answered(nowMillis);
+    progress.answered(nowMillis);
     if (!last.isCallerGone()) {
       answer(new LifecycleAction.DeliverResponse(attempt));
     }
@@ -415,7 +413,7 @@
     }
     avoid.add(upstream);
     actions.add(new LifecycleAction.CountRetry(RetryReason.UPSTREAM_ERROR));
-    requestProgress.expectNothing();
+    progress.expectNothing();
     tryToPlace();
   }
 
@@ -526,7 +524,7 @@
       refuse(RefusalReason.DEADLINE_PASSED, "The deadline of the request has passed.");
     } else if (state == LifecycleState.BACKING_OFF && nowMillis >= waitUntilMillis) {
       tryToPlace();
-    } else if (state.isRunning() && nowMillis >= requestProgress.stallAtMillis()) {
+    } else if (state.isRunning() && nowMillis >= progress.stallAtMillis()) {
       failCurrent(UpstreamFailure.TIMED_OUT);
     }
   }
@@ -555,7 +553,7 @@
     boolean waiting = state == LifecycleState.PLACING;
     boolean cut = state.isRunning() && outcome != ClaimOutcome.COMPLETED;
     state = LifecycleState.ENDED;
-    requestProgress.expectNothing();
+    progress.expectNothing();
     if (cut) {
       actions.add(new LifecycleAction.CloseAttempt(attempt));
     }
@@ -579,16 +577,16 @@
     if (grant.isPresent()) {
       grant = Optional.empty();
       ledger
-          .end(attempt, result, failedUpstream, generatedTokens(), requestProgress)
+          .end(attempt, result, failedUpstream, generatedTokens(), progress)
           .ifPresent(actions::add);
     }
   }
 
   /** Silence ends an attempt only where another may follow; else it is no reason to end sooner. */
   private void stallAfter(long millis) {
-    requestProgress.expectNothing();
+    progress.expectNothing();
     if (profile.repeatability().isResendable()) {
-      requestProgress.expectUntil(nowMillis + millis);
+      progress.expectUntil(nowMillis + millis);
     }
   }
 
