--- a/core/src/main/java/org/marjoramsail/core/placement/SlotLedger.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/SlotLedger.java
@@ -179,7 +179,7 @@
       double readingMillis =
           attempt
               .target()
-              .map(it -> it.readingsBeside().longestAfter(attempt.phaseAt()))
+              .map(it -> it.recentLocalPrefills().longestMillisAfter(attempt.phaseAt()))
               .orElse(0.0);
       estimates.learnPause(attempt.request(), report.longestPauseMillis(), readingMillis);
     }
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
@@ -29,7 +29,7 @@
   private final MovingAverage aloneMillisPerToken;
   private final MovingAverage besideMillisPerToken;
   private final MovingAverage overheadMillis;
-  private final ReadingsBeside readingsBeside = new ReadingsBeside();
+  private final RecentLocalPrefills recentLocalPrefills = new RecentLocalPrefills();
   private final ProgressWatchdog progressWatchdog = new ProgressWatchdog();
   private final Deque<Long> recentEnds = new ArrayDeque<>();
 
@@ -429,7 +429,7 @@
   /** A prefill ended, read or not: what is still queued tells when the upstream is free. */
   void endPrefill(int tokens, long nowMillis) {
     if (role == UpstreamRole.DECODE) {
-      readingsBeside.ended(prefillMillis(tokens), nowMillis);
+      recentLocalPrefills.add(prefillMillis(tokens), nowMillis);
     }
     readEndedAt = nowMillis;
     queuedTokens -= tokens;
@@ -459,8 +459,8 @@
   }
 
   /** The prompts that it has read beside answers. */
-  ReadingsBeside readingsBeside() {
-    return readingsBeside;
+  RecentLocalPrefills recentLocalPrefills() {
+    return recentLocalPrefills;
   }
 
   /** Whether it has ended reading a prompt less than that long ago. */
