--- a/core/src/main/java/org/marjoramsail/core/placement/PrefillPace.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PrefillRate.java
@@ -8,29 +8,29 @@
  * first guess of half their rate kept them from ever taking one, and so from ever being seen to be
  * faster, while prompts waited for seconds.
  */
-final class PrefillPace {
+final class PrefillRate {
 
-  private final MovingAverage aloneMillisPerToken;
-  private final double slowdown;
+  private final MovingAverage dedicatedMillisPerToken;
+  private final double localSlowdown;
 
   /** Starts with the rates of the settings. */
-  PrefillPace(PlacementSettings settings) {
-    this.aloneMillisPerToken = new MovingAverage(1 / settings.prefillTokensPerMilli());
-    this.slowdown = settings.localSlowdown();
+  PrefillRate(PlacementSettings settings) {
+    this.dedicatedMillisPerToken = new MovingAverage(1 / settings.prefillTokensPerMilli());
+    this.localSlowdown = settings.localSlowdown();
   }
 
   /** Handles what a token took on a prefill upstream. */
   void learn(double millisPerToken) {
-    aloneMillisPerToken.observe(millisPerToken);
+    dedicatedMillisPerToken.observe(millisPerToken);
   }
 
   /** What a token is expected to take on a prefill upstream. */
-  double aloneMillisPerToken() {
-    return aloneMillisPerToken.value();
+  double dedicatedMillisPerToken() {
+    return dedicatedMillisPerToken.value();
   }
 
   /** What a token is expected to take on a decode upstream, beside its answers. */
-  double besideMillisPerToken() {
-    return aloneMillisPerToken.value() * slowdown;
+  double localMillisPerToken() {
+    return dedicatedMillisPerToken.value() * localSlowdown;
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardUpstreams.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardUpstreams.java
@@ -24,7 +24,7 @@
 
   private final PlacementSettings settings;
   private final OutputLengthDistribution spread;
-  private final PrefillPace pace;
+  private final PrefillRate prefillRate;
   private final PlainOccupancy occupancy = new PlainOccupancy();
   private final Map<UpstreamName, UpstreamState> byName = new TreeMap<>();
   private final Map<DaemonId, Long> heardAt = new HashMap<>();
@@ -34,7 +34,7 @@
   ShardUpstreams(PlacementSettings settings, OutputLengthDistribution spread) {
     this.settings = settings;
     this.spread = spread;
-    this.pace = new PrefillPace(settings);
+    this.prefillRate = new PrefillRate(settings);
   }
 
   /** How long plain requests hold their slots. */
@@ -63,7 +63,7 @@
       UpstreamState known =
           byName.computeIfAbsent(
               definition.name(),
-              name -> new UpstreamState(definition, settings, spread, pace, occupancy));
+              name -> new UpstreamState(definition, settings, spread, prefillRate, occupancy));
       known.limit().fleetShare(fleetShare);
       if (known.define(definition, nowMillis)) {
         startedAgain.add(definition.name());
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
@@ -24,10 +24,10 @@
   private final PlacementSettings settings;
   private final PrefixIndex prefixes = new PrefixIndex();
   private final MemoryForecast forecast;
-  private final PrefillPace pace;
+  private final PrefillRate prefillRate;
   private final PlainOccupancy occupancy;
-  private final MovingAverage aloneMillisPerToken;
-  private final MovingAverage besideMillisPerToken;
+  private final MovingAverage dedicatedMillisPerToken;
+  private final MovingAverage localMillisPerToken;
   private final MovingAverage overheadMillis;
   private final RecentLocalPrefills recentLocalPrefills = new RecentLocalPrefills();
   private final ProgressWatchdog progressWatchdog = new ProgressWatchdog();
@@ -62,23 +62,23 @@
    * Starts with nothing on it.
    *
    * @param spread how far answers of its shard lie from what was foretold
-   * @param pace how fast prefill upstreams of its shard read
+   * @param prefillRate how fast prefill upstreams of its shard read
    * @param occupancy how long plain requests of its shard hold their slots
    */
   UpstreamState(
       UpstreamDefinition definition,
       PlacementSettings settings,
       OutputLengthDistribution spread,
-      PrefillPace pace,
+      PrefillRate prefillRate,
       PlainOccupancy occupancy) {
-    this.pace = pace;
+    this.prefillRate = prefillRate;
     this.occupancy = occupancy;
     this.forecast = new MemoryForecast(spread);
     this.definition = definition;
     this.role = definition.role();
     this.settings = settings;
-    this.aloneMillisPerToken = new MovingAverage(1 / settings.prefillTokensPerMilli());
-    this.besideMillisPerToken =
+    this.dedicatedMillisPerToken = new MovingAverage(1 / settings.prefillTokensPerMilli());
+    this.localMillisPerToken =
         new MovingAverage(settings.localSlowdown() / settings.prefillTokensPerMilli());
     this.overheadMillis = new MovingAverage(settings.prefillOverheadMillis());
     this.ejection = new EjectionState(settings);
@@ -405,11 +405,11 @@
     if (own.isLearned()) {
       return own.value();
     }
-    return role == UpstreamRole.DECODE ? pace.besideMillisPerToken() : pace.aloneMillisPerToken();
+    return role == UpstreamRole.DECODE ? prefillRate.localMillisPerToken() : prefillRate.dedicatedMillisPerToken();
   }
 
   private MovingAverage learnedPerToken() {
-    return role == UpstreamRole.DECODE ? besideMillisPerToken : aloneMillisPerToken;
+    return role == UpstreamRole.DECODE ? localMillisPerToken : dedicatedMillisPerToken;
   }
 
   double prefillTokensPerMilli() {
@@ -451,7 +451,7 @@
       double perToken = (tookMillis - overheadMillis.value()) / tokens;
       learnedPerToken().observe(perToken);
       if (role == UpstreamRole.PREFILL) {
-        pace.learn(perToken);
+        prefillRate.learn(perToken);
       }
     } else {
       overheadMillis.observe(tookMillis - tokens * millisPerToken());
--- a/core/src/test/java/org/marjoramsail/core/placement/RoleAdvisorTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/RoleAdvisorTest.java
@@ -37,7 +37,7 @@
             PlacementFixtures.upstream("lector", "p", UpstreamRole.PREFILL, 48),
             PlacementSettings.forShortLivedCaches(),
             OutputLengthDistribution.guessed(),
-            new PrefillPace(PlacementSettings.forShortLivedCaches()),
+            new PrefillRate(PlacementSettings.forShortLivedCaches()),
             new PlainOccupancy());
     for (long end = 200; end <= 20_000; end += 100) {
       reader.endPrefill(0, end - 100);
