--- a/core/src/main/java/org/marjoramsail/core/placement/Choice.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementCandidate.java
@@ -8,15 +8,15 @@
  *
  * @param prefill present when the mode transfers
  * @param isPrefillNeeded whether the prompt has still to be read
- * @param unreadTokens tokens of the prompt that are not expected in the reader's cache
+ * @param uncachedTokens tokens of the prompt that are not expected in the reader's cache
  * @param transferBytes size of its KV cache when the mode transfers
  */
-record Choice(
+record PlacementCandidate(
     GrantMode mode,
     Optional<UpstreamState> prefill,
     UpstreamState target,
     boolean isPrefillNeeded,
-    int unreadTokens,
+    int uncachedTokens,
     long transferBytes,
     double prefillMillis,
     double transferMillis) {
--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -471,7 +471,7 @@
         continue;
       }
       for (WaitingAttempt attempt : organisationLane.attempts()) {
-        Optional<Choice> choice = selector.select(attempt, nowMillis);
+        Optional<PlacementCandidate> choice = selector.select(attempt, nowMillis);
         if (choice.isPresent()) {
           return Optional.of(new Granting(attempt, choice.get()));
         }
@@ -497,7 +497,7 @@
     WaitingAttempt attempt = granting.attempt();
     PlacementRequest request = attempt.request();
     waiting.remove(request.request());
-    int readTokens = granting.choice().prefill().isPresent() ? granting.choice().unreadTokens() : 0;
+    int readTokens = granting.choice().prefill().isPresent() ? granting.choice().uncachedTokens() : 0;
     queue.granted(attempt, cost(request, granting.choice()), readTokens, nowMillis);
     count(PlacementCounter.GRANTED);
     if (granting.choice().mode() == GrantMode.LOCAL_PREFILL) {
@@ -510,9 +510,9 @@
     return new PlacementResult.Granted(request.entry(), grant);
   }
 
-  private double cost(PlacementRequest request, Choice choice) {
+  private double cost(PlacementRequest request, PlacementCandidate choice) {
     return request.isGeneration()
-        ? choice.unreadTokens() + OUTPUT_COST_TOKENS * estimates.outputTokens(request)
+        ? choice.uncachedTokens() + OUTPUT_COST_TOKENS * estimates.outputTokens(request)
         : PLAIN_COST_TOKENS;
   }
 
@@ -576,5 +576,5 @@
     counters.merge(counter, 1L, Long::sum);
   }
 
-  private record Granting(WaitingAttempt attempt, Choice choice) {}
+  private record Granting(WaitingAttempt attempt, PlacementCandidate choice) {}
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/RunningAttempt.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/RunningAttempt.java
@@ -10,7 +10,7 @@
   private final OrganisationState organisation;
   private final Optional<UpstreamState> prefill;
   private final Optional<UpstreamState> target;
-  private final int unreadTokens;
+  private final int uncachedTokens;
   private final int expectedCachedTokens;
   private final long transferBytes;
   private final long startedAt;
@@ -23,7 +23,7 @@
    *
    * @param prefill absent where the grant has none or this owner does not know it
    * @param target absent where this owner does not know it
-   * @param unreadTokens tokens of the prompt that are not expected in the reader's cache
+   * @param uncachedTokens tokens of the prompt that are not expected in the reader's cache
    */
   RunningAttempt(
       PlacementRequest request,
@@ -31,7 +31,7 @@
       OrganisationState organisation,
       Optional<UpstreamState> prefill,
       Optional<UpstreamState> target,
-      int unreadTokens,
+      int uncachedTokens,
       long transferBytes,
       AttemptPhase phase,
       long nowMillis) {
@@ -40,8 +40,8 @@
     this.organisation = organisation;
     this.prefill = prefill;
     this.target = target;
-    this.unreadTokens = unreadTokens;
-    this.expectedCachedTokens = request.promptTokens() - unreadTokens;
+    this.uncachedTokens = uncachedTokens;
+    this.expectedCachedTokens = request.promptTokens() - uncachedTokens;
     this.transferBytes = transferBytes;
     this.phase = phase;
     this.startedAt = nowMillis;
@@ -73,8 +73,8 @@
     return grant.mode().isTransferring() ? prefill : target;
   }
 
-  int unreadTokens() {
-    return unreadTokens;
+  int uncachedTokens() {
+    return uncachedTokens;
   }
 
   int expectedCachedTokens() {
--- a/core/src/main/java/org/marjoramsail/core/placement/SlotLedger.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/SlotLedger.java
@@ -38,7 +38,7 @@
   }
 
   /** Reserves a choice, which must be free. */
-  Grant grant(WaitingAttempt attempt, Choice choice, long nowMillis) {
+  Grant grant(WaitingAttempt attempt, PlacementCandidate choice, long nowMillis) {
     PlacementRequest request = attempt.request();
     Grant grant = choice.toGrant(request);
     requireFree(choice.target(), nowMillis);
@@ -49,7 +49,7 @@
     }
     if (choice.isPrefillNeeded()) {
       UpstreamState reader = choice.prefill().orElse(choice.target());
-      reader.startPrefill(choice.unreadTokens(), nowMillis);
+      reader.startPrefill(choice.uncachedTokens(), nowMillis);
       reader.prefixes().addAll(request.prefixHashes());
     }
     choice.prefill().ifPresent(reader -> reader.startTransfer(choice.transferBytes()));
@@ -72,7 +72,7 @@
             attempt.organisation(),
             choice.prefill(),
             Optional.of(choice.target()),
-            choice.unreadTokens(),
+            choice.uncachedTokens(),
             choice.transferBytes(),
             phase,
             nowMillis));
@@ -80,7 +80,7 @@
   }
 
   /** Awaits the first sign: of whoever reads the prompt, or of the target if it is read. */
-  private static void awaitSign(PlacementRequest request, Choice choice, long nowMillis) {
+  private static void awaitSign(PlacementRequest request, PlacementCandidate choice, long nowMillis) {
     if (!request.isGeneration()) {
       return;
     }
@@ -119,7 +119,7 @@
     target.ifPresent(upstream -> upstream.takeMemory(request));
     if (isReading) {
       prefill.ifPresent(upstream -> upstream.adopt(request.alone()));
-      attempt.reader().ifPresent(reader -> reader.startPrefill(attempt.unreadTokens(), nowMillis));
+      attempt.reader().ifPresent(reader -> reader.startPrefill(attempt.uncachedTokens(), nowMillis));
     }
     if (known == AttemptPhase.GENERATING) {
       target.ifPresent(upstream -> upstream.generates(request, nowMillis));
@@ -209,7 +209,7 @@
   }
 
   private void releasePrefill(RunningAttempt attempt, long nowMillis) {
-    attempt.reader().ifPresent(reader -> reader.endPrefill(attempt.unreadTokens(), nowMillis));
+    attempt.reader().ifPresent(reader -> reader.endPrefill(attempt.uncachedTokens(), nowMillis));
     attempt.prefill().ifPresent(prefill -> prefill.release(attempt.request().alone(), nowMillis));
   }
 
@@ -226,8 +226,8 @@
     int cached = report.cachedPromptTokens();
     int promptTokens = attempt.request().promptTokens();
     if (report.tookMillis() > 0) {
-      int unreadTokens = Math.max(1, promptTokens - cached);
-      reader.get().learnPrefill(unreadTokens, report.tookMillis(), nowMillis);
+      int uncachedTokens = Math.max(1, promptTokens - cached);
+      reader.get().learnPrefill(uncachedTokens, report.tookMillis(), nowMillis);
     }
     // The index is a hint from late events: blocks that the engine did not have are taken out, and
     // the prompt that it has just read is put in.
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamSelector.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamSelector.java
@@ -127,7 +127,7 @@
   }
 
   /** Chooses for one attempt; what it lacks is noted in it when there is no choice. */
-  Optional<Choice> select(WaitingAttempt attempt, long nowMillis) {
+  Optional<PlacementCandidate> select(WaitingAttempt attempt, long nowMillis) {
     PlacementRequest request = attempt.request();
     boolean isRead = attempt.liveKv(nowMillis).isPresent();
     if (!isRead && freeSlots(request.serviceClass(), nowMillis) <= 0) {
@@ -150,7 +150,7 @@
     return MissingResource.UPSTREAM;
   }
 
-  private Optional<Choice> selectPlain(WaitingAttempt attempt, long nowMillis) {
+  private Optional<PlacementCandidate> selectPlain(WaitingAttempt attempt, long nowMillis) {
     PlacementRequest request = attempt.request();
     Optional<String> zone = zoneOf.apply(request.entry());
     UpstreamState best = null;
@@ -171,10 +171,10 @@
       attempt.missing(missingSlot(request, nowMillis));
       return Optional.empty();
     }
-    return Optional.of(new Choice(GrantMode.PLAIN, Optional.empty(), best, false, 0, 0, 0, 0));
+    return Optional.of(new PlacementCandidate(GrantMode.PLAIN, Optional.empty(), best, false, 0, 0, 0, 0));
   }
 
-  private Optional<Choice> selectForLiveKv(WaitingAttempt attempt, long nowMillis) {
+  private Optional<PlacementCandidate> selectForLiveKv(WaitingAttempt attempt, long nowMillis) {
     Optional<UpstreamState> holder = attempt.liveKv(nowMillis).flatMap(upstreams::find);
     if (holder.isEmpty()) {
       return selectEngines(attempt, nowMillis);
@@ -188,7 +188,7 @@
     return Optional.of(disaggregated(request, holder.get(), target, 0, false));
   }
 
-  private Optional<Choice> selectEngines(WaitingAttempt attempt, long nowMillis) {
+  private Optional<PlacementCandidate> selectEngines(WaitingAttempt attempt, long nowMillis) {
     PlacementRequest request = attempt.request();
     UpstreamState local = bestLocal(request, nowMillis);
     if (local == null) {
@@ -219,7 +219,7 @@
       return Optional.of(local(local, request));
     }
     if (reader == null) {
-      Optional<Choice> overflow = overflow(request, nowMillis);
+      Optional<PlacementCandidate> overflow = overflow(request, nowMillis);
       if (overflow.isEmpty()) {
         attempt.missing(MissingResource.PREFILL_CAPACITY);
       }
@@ -241,7 +241,7 @@
    * each reads one prompt at a time, and only one that leaves the pause as short as they need it:
    * prompts of eight thousand tokens, read in this way, made ten streams late each.
    */
-  private Optional<Choice> overflow(PlacementRequest request, long nowMillis) {
+  private Optional<PlacementCandidate> overflow(PlacementRequest request, long nowMillis) {
     UpstreamState best = null;
     double bestMillis = estimates.readingWithinPause(request);
     for (UpstreamState upstream : upstreams.all()) {
@@ -272,33 +272,33 @@
         && !upstreams.isSilent(upstream, nowMillis);
   }
 
-  private static Choice local(UpstreamState target, PlacementRequest request) {
-    int unreadTokens = unread(target, request);
-    return new Choice(
+  private static PlacementCandidate local(UpstreamState target, PlacementRequest request) {
+    int uncachedTokens = unread(target, request);
+    return new PlacementCandidate(
         GrantMode.LOCAL_PREFILL,
         Optional.empty(),
         target,
         true,
-        unreadTokens,
+        uncachedTokens,
         0,
-        target.prefillMillis(unreadTokens),
+        target.prefillMillis(uncachedTokens),
         0);
   }
 
-  private Choice disaggregated(
+  private PlacementCandidate disaggregated(
       PlacementRequest request,
       UpstreamState reader,
       UpstreamState target,
-      int unreadTokens,
+      int uncachedTokens,
       boolean isPrefillNeeded) {
-    return new Choice(
+    return new PlacementCandidate(
         GrantMode.DISAGGREGATED,
         Optional.of(reader),
         target,
         isPrefillNeeded,
-        unreadTokens,
+        uncachedTokens,
         transferBytes(request),
-        reader.prefillMillis(unreadTokens),
+        reader.prefillMillis(uncachedTokens),
         transferMillis(request, reader, target));
   }
 
