--- a/core/src/main/java/org/marjoramsail/core/placement/MemoryForecast.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/MemoryForecast.java
@@ -27,36 +27,36 @@
    * least: 2 to 3 preemptions in 100 streams and 0.92 of the streams that fit by plain means, which
    * made 16 to 18 in 100 (a model of one engine). From 0 to 1 the loss differs by 2 to 3 in 100.
    */
-  private static final double CAUTION = 0.3;
+  private static final double SAFETY_MARGIN_DEVIATIONS = 0.3;
 
-  private static final long NOT_BEGUN = Long.MAX_VALUE;
+  private static final long NOT_GENERATING = Long.MAX_VALUE;
 
-  private static final class Growing {
+  private static final class TrackedRequest {
     private final int promptTokens;
     private final int expectedTokens;
-    private long generatingSince = NOT_BEGUN;
+    private long generatingSince = NOT_GENERATING;
 
-    Growing(int promptTokens, int expectedTokens) {
+    TrackedRequest(int promptTokens, int expectedTokens) {
       this.promptTokens = promptTokens;
       this.expectedTokens = expectedTokens;
     }
 
     double generated(long nowMillis, double millisPerToken) {
-      return generatingSince == NOT_BEGUN
+      return generatingSince == NOT_GENERATING
           ? 0
           : Math.max(0, nowMillis - generatingSince) / millisPerToken;
     }
   }
 
   /** One request as it stands now: what it holds and how much it will still grow. */
-  private record Standing(double held, OutputLengthDistribution.Left left) {
+  private record RequestMemory(double held, OutputLengthDistribution.Left left) {
     double mean() {
       return left.mean();
     }
   }
 
   private final OutputLengthDistribution spread;
-  private final Map<RequestId, Growing> growing = new HashMap<>();
+  private final Map<RequestId, TrackedRequest> trackedRequests = new HashMap<>();
 
   /** Creates an instance with how far lengths lie from what was foretold. */
   MemoryForecast(OutputLengthDistribution spread) {
@@ -65,20 +65,20 @@
 
   /** Handles a request that is to run here. */
   void add(RequestId request, int promptTokens, int expectedTokens) {
-    growing.put(request, new Growing(promptTokens, expectedTokens));
+    trackedRequests.put(request, new TrackedRequest(promptTokens, expectedTokens));
   }
 
   /** Records that a request generates from now on. */
-  void generating(RequestId request, long nowMillis) {
-    Growing known = growing.get(request);
-    if (known != null && known.generatingSince == NOT_BEGUN) {
-      known.generatingSince = nowMillis;
+  void generationStarted(RequestId request, long nowMillis) {
+    TrackedRequest tracked = trackedRequests.get(request);
+    if (tracked != null && tracked.generatingSince == NOT_GENERATING) {
+      tracked.generatingSince = nowMillis;
     }
   }
 
   /** Records that a request holds nothing here any more. */
   void remove(RequestId request) {
-    growing.remove(request);
+    trackedRequests.remove(request);
   }
 
   /**
@@ -87,24 +87,24 @@
    *
    * @param millisPerToken how long a token takes
    */
-  double peakWith(int promptTokens, int expectedTokens, long nowMillis, double millisPerToken) {
-    List<Standing> all = new ArrayList<>(growing.size() + 1);
-    all.add(new Standing(promptTokens, spread.leftOf(expectedTokens, 0)));
-    for (Growing one : growing.values()) {
+  double peakTokensWith(int promptTokens, int expectedTokens, long nowMillis, double millisPerToken) {
+    List<RequestMemory> all = new ArrayList<>(trackedRequests.size() + 1);
+    all.add(new RequestMemory(promptTokens, spread.leftOf(expectedTokens, 0)));
+    for (TrackedRequest one : trackedRequests.values()) {
       double generated = one.generated(nowMillis, millisPerToken);
       all.add(
-          new Standing(one.promptTokens + generated, spread.leftOf(one.expectedTokens, generated)));
+          new RequestMemory(one.promptTokens + generated, spread.leftOf(one.expectedTokens, generated)));
     }
-    all.sort(Comparator.comparingDouble(Standing::mean));
-    double heldByLater = all.stream().mapToDouble(Standing::held).sum();
+    all.sort(Comparator.comparingDouble(RequestMemory::mean));
+    double heldByLater = all.stream().mapToDouble(RequestMemory::held).sum();
     double peak = 0;
     for (int position = 0; position < all.size(); position++) {
-      Standing ending = all.get(position);
-      int alive = all.size() - position;
-      peak = Math.max(peak, heldByLater + alive * ending.mean());
+      RequestMemory ending = all.get(position);
+      int remainingRequests = all.size() - position;
+      peak = Math.max(peak, heldByLater + remainingRequests * ending.mean());
       heldByLater -= ending.held();
     }
     double variance = all.stream().mapToDouble(one -> one.left().variance()).sum();
-    return peak + CAUTION * Math.sqrt(variance);
+    return peak + SAFETY_MARGIN_DEVIATIONS * Math.sqrt(variance);
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
@@ -231,7 +231,7 @@
   boolean hasMemoryFor(PlacementRequest request, long nowMillis, double millisPerToken) {
     int memory = definition.memoryTokens().orElse(UNKNOWN_MEMORY);
     return memory == UNKNOWN_MEMORY
-        || forecast.peakWith(
+        || forecast.peakTokensWith(
                 request.promptTokens(), request.outputTokens(), nowMillis, millisPerToken)
             <= memory;
   }
@@ -244,7 +244,7 @@
 
   /** Records that a request has begun to grow. */
   void generates(PlacementRequest request, long nowMillis) {
-    forecast.generating(request.request(), nowMillis);
+    forecast.generationStarted(request.request(), nowMillis);
   }
 
   /** Gives memory back. */
--- a/core/src/test/java/org/marjoramsail/core/placement/MemoryForecastTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/MemoryForecastTest.java
@@ -18,14 +18,14 @@
 
   @Test
   void oneRequestNeedsItsPromptAndItsWholeAnswer() {
-    assertThat(forecast.peakWith(3_000, 800, 0, MILLIS_PER_TOKEN)).isEqualTo(3_800);
+    assertThat(forecast.peakTokensWith(3_000, 800, 0, MILLIS_PER_TOKEN)).isEqualTo(3_800);
   }
 
   @Test
   void requestsThatGrowTogetherNeedAllTheirLengths() {
     add("a", 0);
 
-    assertThat(forecast.peakWith(3_000, 800, 0, MILLIS_PER_TOKEN)).isEqualTo(7_600);
+    assertThat(forecast.peakTokensWith(3_000, 800, 0, MILLIS_PER_TOKEN)).isEqualTo(7_600);
   }
 
   @Test
@@ -33,7 +33,7 @@
     add("a", 0);
 
     // It has 100 tokens left, so the new one holds 3,100 when it ends and 3,800 in the end.
-    double peak = forecast.peakWith(3_000, 800, 700 * 5, MILLIS_PER_TOKEN);
+    double peak = forecast.peakTokensWith(3_000, 800, 700 * 5, MILLIS_PER_TOKEN);
 
     assertThat(peak).isBetween(3_000 + 3_700.0 + 2 * 100, 3_000 + 3_700.0 + 2 * 120 + 1);
   }
@@ -42,7 +42,7 @@
   void aRequestThatOutgrowsItsExpectationIsExpectedToGrowOn() {
     add("a", 0);
 
-    double peak = forecast.peakWith(0, 1, 2_000 * 5, MILLIS_PER_TOKEN);
+    double peak = forecast.peakTokensWith(0, 1, 2_000 * 5, MILLIS_PER_TOKEN);
 
     assertThat(peak).isGreaterThan(3_000 + 2_000);
   }
@@ -51,7 +51,7 @@
   void aRequestThatHasNotBegunDoesNotGrow() {
     forecast.add(new RequestId("a"), 3_000, 800);
 
-    assertThat(forecast.peakWith(0, 1, 1_000_000, MILLIS_PER_TOKEN)).isLessThan(3_802);
+    assertThat(forecast.peakTokensWith(0, 1, 1_000_000, MILLIS_PER_TOKEN)).isLessThan(3_802);
   }
 
   @Test
@@ -59,11 +59,11 @@
     add("a", 0);
     forecast.remove(new RequestId("a"));
 
-    assertThat(forecast.peakWith(3_000, 800, 0, MILLIS_PER_TOKEN)).isEqualTo(3_800);
+    assertThat(forecast.peakTokensWith(3_000, 800, 0, MILLIS_PER_TOKEN)).isEqualTo(3_800);
   }
 
   private void add(String name, long sinceMillis) {
     forecast.add(new RequestId(name), 3_000, 800);
-    forecast.generating(new RequestId(name), sinceMillis);
+    forecast.generationStarted(new RequestId(name), sinceMillis);
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/placement/SaturatedMemoryTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/SaturatedMemoryTest.java
@@ -92,9 +92,9 @@
     while (ended < STREAMS) {
       while (running.size() < slots
           && (running.isEmpty()
-              || forecast.peakWith(next.prompt, next.foretold, now, MILLIS_PER_TOKEN) <= memory)) {
+              || forecast.peakTokensWith(next.prompt, next.foretold, now, MILLIS_PER_TOKEN) <= memory)) {
         forecast.add(next.id, next.prompt, next.foretold);
-        forecast.generating(next.id, now);
+        forecast.generationStarted(next.id, now);
         running.add(next);
         next = new Stream(++number, random, prompt, answer, deviation);
       }
