--- a/core/src/main/java/org/marjoramsail/core/placement/MemoryForecast.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/MemoryForecast.java
@@ -49,18 +49,18 @@
   }
 
   /** One request as it stands now: what it holds and how much it will still grow. */
-  private record RequestMemory(double held, OutputLengthDistribution.Left left) {
+  private record RequestMemory(double held, OutputLengthDistribution.Remaining remaining) {
     double mean() {
-      return left.mean();
+      return remaining.mean();
     }
   }
 
-  private final OutputLengthDistribution spread;
+  private final OutputLengthDistribution outputLengths;
   private final Map<RequestId, TrackedRequest> trackedRequests = new HashMap<>();
 
   /** Creates an instance with how far lengths lie from what was foretold. */
-  MemoryForecast(OutputLengthDistribution spread) {
-    this.spread = spread;
+  MemoryForecast(OutputLengthDistribution outputLengths) {
+    this.outputLengths = outputLengths;
   }
 
   /** Handles a request that is to run here. */
@@ -89,11 +89,11 @@
    */
   double peakTokensWith(int promptTokens, int expectedTokens, long nowMillis, double millisPerToken) {
     List<RequestMemory> all = new ArrayList<>(trackedRequests.size() + 1);
-    all.add(new RequestMemory(promptTokens, spread.leftOf(expectedTokens, 0)));
+    all.add(new RequestMemory(promptTokens, outputLengths.remaining(expectedTokens, 0)));
     for (TrackedRequest one : trackedRequests.values()) {
       double generated = one.generated(nowMillis, millisPerToken);
       all.add(
-          new RequestMemory(one.promptTokens + generated, spread.leftOf(one.expectedTokens, generated)));
+          new RequestMemory(one.promptTokens + generated, outputLengths.remaining(one.expectedTokens, generated)));
     }
     all.sort(Comparator.comparingDouble(RequestMemory::mean));
     double heldByLater = all.stream().mapToDouble(RequestMemory::held).sum();
@@ -104,7 +104,7 @@
       peak = Math.max(peak, heldByLater + remainingRequests * ending.mean());
       heldByLater -= ending.held();
     }
-    double variance = all.stream().mapToDouble(one -> one.left().variance()).sum();
+    double variance = all.stream().mapToDouble(one -> one.remaining().variance()).sum();
     return peak + SAFETY_MARGIN_DEVIATIONS * Math.sqrt(variance);
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/OutputLengthDistribution.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/OutputLengthDistribution.java
@@ -11,7 +11,7 @@
 final class OutputLengthDistribution {
 
   /** What one answer will still grow by, in tokens. */
-  record Left(double mean, double variance) {}
+  record Remaining(double mean, double variance) {}
 
   /** Sixteen quantiles of the normal distribution; eight are enough to write them down. */
   private static final double[] UPPER_HALF = {
@@ -21,30 +21,30 @@
   private static final int SAMPLES = 2 * UPPER_HALF.length;
 
   /** Before any answer: two thirds lie between 0.64 and 1.57 times the forecast. */
-  private static final double FIRST_DEVIATION = 0.45;
+  private static final double INITIAL_DEVIATION = 0.45;
 
   /** How far one answer moves each quantile, in natural logarithms of the ratio. */
   private static final double STEP = 0.05;
 
-  private static final double LEAST_RATIO = 0.001;
+  private static final double MINIMUM_RATIO = 0.001;
 
   /** A stream that has outgrown all that were seen grows by that share of what it has. */
-  private static final double OUTGROWN_SHARE = 0.15;
+  private static final double OUTGROWN_GROWTH_SHARE = 0.15;
 
   private final double[] logarithms = new double[SAMPLES];
   private final double[] ratios = new double[SAMPLES];
 
   private OutputLengthDistribution(double deviation) {
-    for (int place = 0; place < UPPER_HALF.length; place++) {
-      logarithms[UPPER_HALF.length + place] = deviation * UPPER_HALF[place];
-      logarithms[UPPER_HALF.length - 1 - place] = -deviation * UPPER_HALF[place];
+    for (int index = 0; index < UPPER_HALF.length; index++) {
+      logarithms[UPPER_HALF.length + index] = deviation * UPPER_HALF[index];
+      logarithms[UPPER_HALF.length - 1 - index] = -deviation * UPPER_HALF[index];
     }
-    takeRatios();
+    updateRatios();
   }
 
   /** A first guess. */
-  static OutputLengthDistribution guessed() {
-    return new OutputLengthDistribution(FIRST_DEVIATION);
+  static OutputLengthDistribution initialEstimate() {
+    return new OutputLengthDistribution(INITIAL_DEVIATION);
   }
 
   /** Answers are as long as was foretold. */
@@ -53,39 +53,39 @@
   }
 
   /** Learns from an answer that came to its end. */
-  void observe(double tokens, double foretoldTokens) {
-    double logarithm = Math.log(Math.max(LEAST_RATIO, tokens / foretoldTokens));
-    for (int place = 0; place < SAMPLES; place++) {
-      double below = (place + 0.5) / SAMPLES;
-      logarithms[place] += STEP * (logarithm < logarithms[place] ? below - 1 : below);
+  void observe(double tokens, double predictedTokens) {
+    double logarithm = Math.log(Math.max(MINIMUM_RATIO, tokens / predictedTokens));
+    for (int index = 0; index < SAMPLES; index++) {
+      double quantile = (index + 0.5) / SAMPLES;
+      logarithms[index] += STEP * (logarithm < logarithms[index] ? quantile - 1 : quantile);
     }
     Arrays.sort(logarithms);
-    takeRatios();
+    updateRatios();
   }
 
   /** What an answer will still grow by, given that it has come so far. */
-  Left leftOf(double foretoldTokens, double generatedTokens) {
+  Remaining remaining(double predictedTokens, double generatedTokens) {
     double sum = 0;
     double squares = 0;
     int longer = 0;
     for (double ratio : ratios) {
-      double left = ratio * foretoldTokens - generatedTokens;
-      if (left > 0) {
-        sum += left;
-        squares += left * left;
+      double remaining = ratio * predictedTokens - generatedTokens;
+      if (remaining > 0) {
+        sum += remaining;
+        squares += remaining * remaining;
         longer++;
       }
     }
     if (longer == 0) {
-      return new Left(OUTGROWN_SHARE * Math.max(foretoldTokens, generatedTokens), 0);
+      return new Remaining(OUTGROWN_GROWTH_SHARE * Math.max(predictedTokens, generatedTokens), 0);
     }
     double mean = sum / longer;
-    return new Left(mean, Math.max(0, squares / longer - mean * mean));
+    return new Remaining(mean, Math.max(0, squares / longer - mean * mean));
   }
 
-  private void takeRatios() {
-    for (int place = 0; place < SAMPLES; place++) {
-      ratios[place] = Math.exp(logarithms[place]);
+  private void updateRatios() {
+    for (int index = 0; index < SAMPLES; index++) {
+      ratios[index] = Math.exp(logarithms[index]);
     }
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementEstimates.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementEstimates.java
@@ -25,7 +25,7 @@
 
   private final Cache<String, MovingAverage> outputShares =
       Caffeine.newBuilder().maximumSize(MOST_RULES).executor(Runnable::run).build();
-  private final OutputLengthDistribution spread = OutputLengthDistribution.guessed();
+  private final OutputLengthDistribution outputLengths = OutputLengthDistribution.initialEstimate();
   private final MovingAverage decodeMillisPerToken;
   private final MovingAverage holdMillis = new MovingAverage(FIRST_HOLD_MILLIS);
   private final MovingAverage heldTokens = new MovingAverage(FIRST_HELD_TOKENS);
@@ -112,7 +112,7 @@
   void learnOutput(PlacementRequest request, int tokens, long generatingMillis) {
     if (request.isGeneration() && tokens > 0) {
       outputShare(request.rule()).observe((double) tokens / request.outputTokens());
-      spread.observe(tokens, request.outputTokens());
+      outputLengths.observe(tokens, request.outputTokens());
       decodeMillisPerToken.observe((double) generatingMillis / tokens);
     }
   }
@@ -147,8 +147,8 @@
   }
 
   /** How far lengths of answers lie from what was foretold. */
-  OutputLengthDistribution spread() {
-    return spread;
+  OutputLengthDistribution outputLengths() {
+    return outputLengths;
   }
 
   private MovingAverage outputShare(String rule) {
--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -69,7 +69,7 @@
     this.organisations =
         new OrganisationTable(shard, setup.random().nextLong(), setup.isTakenOver(), nowMillis);
     this.estimates = new PlacementEstimates(settings);
-    this.upstreams = new ShardUpstreams(settings, estimates.spread());
+    this.upstreams = new ShardUpstreams(settings, estimates.outputLengths());
     this.conditions = new OwnerFeedback(upstreams);
     this.selector = new UpstreamSelector(upstreams, estimates, setup, nowMillis);
     this.ledger = new SlotLedger(upstreams, estimates);
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardUpstreams.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardUpstreams.java
@@ -23,7 +23,7 @@
   private static final long SERVING_MILLIS = 2_000;
 
   private final PlacementSettings settings;
-  private final OutputLengthDistribution spread;
+  private final OutputLengthDistribution outputLengths;
   private final PrefillRate prefillRate;
   private final PlainOccupancy occupancy = new PlainOccupancy();
   private final Map<UpstreamName, UpstreamState> byName = new TreeMap<>();
@@ -31,9 +31,9 @@
   private List<UpstreamState> all = List.of();
   private double fleetShare = 1;
 
-  ShardUpstreams(PlacementSettings settings, OutputLengthDistribution spread) {
+  ShardUpstreams(PlacementSettings settings, OutputLengthDistribution outputLengths) {
     this.settings = settings;
-    this.spread = spread;
+    this.outputLengths = outputLengths;
     this.prefillRate = new PrefillRate(settings);
   }
 
@@ -63,7 +63,7 @@
       UpstreamState known =
           byName.computeIfAbsent(
               definition.name(),
-              name -> new UpstreamState(definition, settings, spread, prefillRate, occupancy));
+              name -> new UpstreamState(definition, settings, outputLengths, prefillRate, occupancy));
       known.limit().fleetShare(fleetShare);
       if (known.define(definition, nowMillis)) {
         startedAgain.add(definition.name());
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
@@ -61,19 +61,19 @@
   /**
    * Starts with nothing on it.
    *
-   * @param spread how far answers of its shard lie from what was foretold
+   * @param outputLengths how far answers of its shard lie from what was foretold
    * @param prefillRate how fast prefill upstreams of its shard read
    * @param occupancy how long plain requests of its shard hold their slots
    */
   UpstreamState(
       UpstreamDefinition definition,
       PlacementSettings settings,
-      OutputLengthDistribution spread,
+      OutputLengthDistribution outputLengths,
       PrefillRate prefillRate,
       PlainOccupancy occupancy) {
     this.prefillRate = prefillRate;
     this.occupancy = occupancy;
-    this.forecast = new MemoryForecast(spread);
+    this.forecast = new MemoryForecast(outputLengths);
     this.definition = definition;
     this.role = definition.role();
     this.settings = settings;
--- a/core/src/test/java/org/marjoramsail/core/placement/RoleAdvisorTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/RoleAdvisorTest.java
@@ -36,7 +36,7 @@
         new UpstreamState(
             PlacementFixtures.upstream("lector", "p", UpstreamRole.PREFILL, 48),
             PlacementSettings.forShortLivedCaches(),
-            OutputLengthDistribution.guessed(),
+            OutputLengthDistribution.initialEstimate(),
             new PrefillRate(PlacementSettings.forShortLivedCaches()),
             new PlainOccupancy());
     for (long end = 200; end <= 20_000; end += 100) {
--- a/core/src/test/java/org/marjoramsail/core/placement/SaturatedMemoryTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/SaturatedMemoryTest.java
@@ -78,10 +78,10 @@
 
   private static Outcome play(
       int memory, int slots, int prompt, int answer, double deviation, boolean learning) {
-    OutputLengthDistribution spread =
-        learning ? OutputLengthDistribution.guessed() : OutputLengthDistribution.exact();
+    OutputLengthDistribution outputLengths =
+        learning ? OutputLengthDistribution.initialEstimate() : OutputLengthDistribution.exact();
     Random random = new Random(17);
-    MemoryForecast forecast = new MemoryForecast(spread);
+    MemoryForecast forecast = new MemoryForecast(outputLengths);
     List<Stream> running = new ArrayList<>();
     int step = Math.max(1, answer / 70);
     int number = 0;
@@ -105,7 +105,7 @@
           running.remove(one);
           forecast.remove(one.id);
           if (learning) {
-            spread.observe(one.answer, one.foretold);
+            outputLengths.observe(one.answer, one.foretold);
           }
           ended++;
         }
