--- a/core/src/main/java/org/marjoramsail/core/placement/ProgressWatchdog.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ProgressWatchdog.java
@@ -19,7 +19,7 @@
 final class ProgressWatchdog {
 
   /** How many times the expected time a first sign may take. */
-  private static final int LARGEST_FACTOR = 2;
+  private static final int EXPECTED_TIME_FACTOR = 2;
 
   /** What a first sign may take beyond that, in milliseconds: messages and a place in a batch. */
   private static final long SLACK_MILLIS = 300;
@@ -27,33 +27,33 @@
   private record Awaited(DaemonId entry, long sentAt, long dueAt) {}
 
   private final Map<RequestId, Awaited> awaited = new HashMap<>();
-  private long signedAt = Long.MIN_VALUE;
+  private long progressAt = Long.MIN_VALUE;
 
   /** Records that a request was sent, and when its first sign is expected. */
-  void sent(RequestId request, DaemonId entry, double expectedMillis, long nowMillis) {
-    long dueAt = nowMillis + (long) (LARGEST_FACTOR * expectedMillis) + SLACK_MILLIS;
+  void awaitProgress(RequestId request, DaemonId entry, double expectedMillis, long nowMillis) {
+    long dueAt = nowMillis + (long) (EXPECTED_TIME_FACTOR * expectedMillis) + SLACK_MILLIS;
     awaited.put(request, new Awaited(entry, nowMillis, dueAt));
   }
 
   /** Records that the upstream gave a sign, of whichever request. */
-  void signed(long nowMillis) {
-    signedAt = nowMillis;
+  void progressMade(long nowMillis) {
+    progressAt = nowMillis;
   }
 
   /** Records that the sign of a request came, or that nobody waits for it any more. */
-  void settled(RequestId request) {
+  void stopAwaiting(RequestId request) {
     awaited.remove(request);
   }
 
   /**
    * Whether a sign is overdue that would have been told by now, and no other came since.
    *
-   * @param heardAt when each entry daemon was last heard of: one that cannot be heard of says
+   * @param receivedAt when each entry daemon was last heard of: one that cannot be heard of says
    *     nothing about upstreams
    */
-  boolean isOverdue(ToLongFunction<DaemonId> heardAt) {
+  boolean isOverdue(ToLongFunction<DaemonId> receivedAt) {
     return awaited.values().stream()
         .anyMatch(
-            one -> one.sentAt() > signedAt && one.dueAt() <= heardAt.applyAsLong(one.entry()));
+            one -> one.sentAt() > progressAt && one.dueAt() <= receivedAt.applyAsLong(one.entry()));
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/SlotLedger.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/SlotLedger.java
@@ -88,7 +88,7 @@
         choice.isPrefillNeeded() ? choice.prefill().orElse(choice.target()) : choice.target();
     double expected =
         choice.isPrefillNeeded() ? first.queueMillis(nowMillis) : choice.transferMillis();
-    first.progressWatchdog().sent(request.request(), request.entry(), expected, nowMillis);
+    first.progressWatchdog().awaitProgress(request.request(), request.entry(), expected, nowMillis);
   }
 
   /** Counts an attempt that another owner granted, even beyond the slots that there are. */
@@ -172,7 +172,7 @@
     if (!attempt.request().isGeneration()) {
       upstreams.occupancy().learn(nowMillis - attempt.startedAt(), report.tookMillis());
     }
-    attempt.target().ifPresent(target -> target.progressWatchdog().signed(nowMillis));
+    attempt.target().ifPresent(target -> target.progressWatchdog().progressMade(nowMillis));
     if (attempt.phase() == AttemptPhase.GENERATING) {
       estimates.learnOutput(
           attempt.request(), report.outputTokens(), nowMillis - attempt.phaseAt());
@@ -191,21 +191,21 @@
     if (reached == AttemptPhase.PREFILLED) {
       PlacementRequest request = attempt.request();
       double expected = attempt.grant().expectedTransferMillis();
-      attempt.prefill().ifPresent(prefill -> prefill.progressWatchdog().signed(nowMillis));
+      attempt.prefill().ifPresent(prefill -> prefill.progressWatchdog().progressMade(nowMillis));
       attempt
           .target()
           .map(UpstreamState::progressWatchdog)
           .ifPresent(
-              watchdog -> watchdog.sent(request.request(), request.entry(), expected, nowMillis));
+              watchdog -> watchdog.awaitProgress(request.request(), request.entry(), expected, nowMillis));
     } else {
-      attempt.target().ifPresent(target -> target.progressWatchdog().signed(nowMillis));
+      attempt.target().ifPresent(target -> target.progressWatchdog().progressMade(nowMillis));
     }
   }
 
   private static void settleSigns(RunningAttempt attempt) {
     RequestId request = attempt.request().request();
-    attempt.prefill().ifPresent(prefill -> prefill.progressWatchdog().settled(request));
-    attempt.target().ifPresent(target -> target.progressWatchdog().settled(request));
+    attempt.prefill().ifPresent(prefill -> prefill.progressWatchdog().stopAwaiting(request));
+    attempt.target().ifPresent(target -> target.progressWatchdog().stopAwaiting(request));
   }
 
   private void releasePrefill(RunningAttempt attempt, long nowMillis) {
