--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -185,7 +185,7 @@
   @Override
   public List<PlacementResult> availability(
       UpstreamName upstream, boolean available, long nowMillis) {
-    upstreams.find(upstream).ifPresent(found -> found.list(available, nowMillis));
+    upstreams.find(upstream).ifPresent(found -> found.setListedAvailable(available, nowMillis));
     return dispatch(nowMillis);
   }
 
@@ -532,7 +532,7 @@
       failed.ifPresent(upstream -> fault(upstream, result, nowMillis));
     }
     if (result == AttemptResult.FULL) {
-      report.failedUpstream().flatMap(upstreams::find).ifPresent(full -> full.full(nowMillis));
+      report.failedUpstream().flatMap(upstreams::find).ifPresent(full -> full.refusedAsFull(nowMillis));
     }
     ledger.release(attempt, nowMillis);
     memory.ended(report.request(), report.attempt(), nowMillis);
--- a/core/src/main/java/org/marjoramsail/core/placement/SlotLedger.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/SlotLedger.java
@@ -43,7 +43,7 @@
     Grant grant = choice.toGrant(request);
     requireFree(choice.target(), nowMillis);
     choice.target().reserve(request.alone(), nowMillis);
-    choice.target().takeMemory(request);
+    choice.target().reserveMemory(request);
     if (request.isGeneration()) {
       estimates.learnHeldTokens(request);
     }
@@ -116,13 +116,13 @@
             known,
             nowMillis);
     target.ifPresent(upstream -> upstream.adopt(request.alone()));
-    target.ifPresent(upstream -> upstream.takeMemory(request));
+    target.ifPresent(upstream -> upstream.reserveMemory(request));
     if (isReading) {
       prefill.ifPresent(upstream -> upstream.adopt(request.alone()));
       attempt.reader().ifPresent(reader -> reader.startPrefill(attempt.uncachedTokens(), nowMillis));
     }
     if (known == AttemptPhase.GENERATING) {
-      target.ifPresent(upstream -> upstream.generates(request, nowMillis));
+      target.ifPresent(upstream -> upstream.generationStarted(request, nowMillis));
     } else {
       prefill.ifPresent(upstream -> upstream.startTransfer(attempt.transferBytes()));
       target.ifPresent(upstream -> upstream.startTransfer(attempt.transferBytes()));
@@ -145,7 +145,7 @@
     if (report.phase() == AttemptPhase.GENERATING) {
       learnTransfer(attempt, nowMillis);
       releaseTransfer(attempt);
-      attempt.target().ifPresent(target -> target.generates(attempt.request(), nowMillis));
+      attempt.target().ifPresent(target -> target.generationStarted(attempt.request(), nowMillis));
     }
     attempt.enter(report.phase(), nowMillis);
   }
@@ -160,7 +160,7 @@
       releaseTransfer(attempt);
     }
     attempt.target().ifPresent(target -> target.release(attempt.request().alone(), nowMillis));
-    attempt.target().ifPresent(target -> target.giveMemory(attempt.request()));
+    attempt.target().ifPresent(target -> target.releaseMemory(attempt.request()));
     attempt.organisation().ended();
     attempt.enter(AttemptPhase.ENDED, nowMillis);
     running.remove(attempt.request().request());
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamSelector.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamSelector.java
@@ -247,7 +247,7 @@
     for (UpstreamState upstream : upstreams.all()) {
       if (!isCandidate(upstream, UpstreamRole.DECODE, request, nowMillis)
           || !isOpenForOverflow(upstream, nowMillis)
-          || upstream.hasReadWithin(estimates.pieceMillis(request), nowMillis)) {
+          || upstream.hasPrefilledWithin(estimates.pieceMillis(request), nowMillis)) {
         continue;
       }
       double millis = upstream.prefillMillis(unread(upstream, request));
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
@@ -10,10 +10,10 @@
 /** What the owner of a shard knows of one upstream: slots, queues, estimates and health. */
 final class UpstreamState {
 
-  private static final long REFUSED_MILLIS = 2_000;
+  private static final long REFUSAL_PAUSE_MILLIS = 2_000;
 
   /** An upstream that was full when this owner thought otherwise is left alone that long. */
-  private static final long FULL_MILLIS = 60;
+  private static final long FULL_PAUSE_MILLIS = 60;
 
   private static final long REPORT_STALE_MILLIS = 10_000;
   private static final int REMEMBERED_ENDS = 256;
@@ -23,7 +23,7 @@
 
   private final PlacementSettings settings;
   private final PrefixIndex prefixes = new PrefixIndex();
-  private final MemoryForecast forecast;
+  private final MemoryForecast memoryForecast;
   private final PrefillRate prefillRate;
   private final PlainOccupancy occupancy;
   private final MovingAverage dedicatedMillisPerToken;
@@ -38,24 +38,24 @@
   private UpstreamDefinition definition;
   private UpstreamRole role;
   private boolean configured = true;
-  private boolean listedOut;
+  private boolean listedUnavailable;
   private boolean reportedLeaving;
-  private boolean statedLeaving;
+  private boolean announcedLeaving;
   private long refusedUntil = NEVER;
 
   private int reserved;
   private int reservedTokens;
   private int suspects;
-  private int foreign;
+  private int otherOwnersRequests;
   private int reportedSlots;
   private int reportedRunning;
   private long reportedAt = NEVER;
   private long incarnation = NEVER;
 
   private long queuedTokens;
-  private long foreignTokens;
+  private long otherOwnersTokens;
   private double busyUntil;
-  private long readEndedAt = NEVER;
+  private long prefillEndedAt = NEVER;
   private long linkBytes;
 
   /**
@@ -73,7 +73,7 @@
       PlainOccupancy occupancy) {
     this.prefillRate = prefillRate;
     this.occupancy = occupancy;
-    this.forecast = new MemoryForecast(outputLengths);
+    this.memoryForecast = new MemoryForecast(outputLengths);
     this.definition = definition;
     this.role = definition.role();
     this.settings = settings;
@@ -131,28 +131,28 @@
    * @return whether it is of a later life of the upstream
    */
   boolean define(UpstreamDefinition newer, long nowMillis) {
-    boolean startedAgain = newer.incarnation().supersedes(definition.incarnation());
-    if (newer.role() != definition.role() || startedAgain) {
+    boolean restarted = newer.incarnation().supersedes(definition.incarnation());
+    if (newer.role() != definition.role() || restarted) {
       role = newer.role();
     }
     definition = newer;
     configured = true;
-    if (startedAgain) {
-      forgetEarlierLife(nowMillis);
+    if (restarted) {
+      resetForNextIncarnation(nowMillis);
     }
-    return startedAgain;
+    return restarted;
   }
 
   /** What was seen of a life that is over says nothing of the next: it begins with nothing. */
-  private void forgetEarlierLife(long nowMillis) {
+  private void resetForNextIncarnation(long nowMillis) {
     prefixes.clear();
     busyUntil = nowMillis;
     refusedUntil = NEVER;
     reportedLeaving = false;
-    statedLeaving = false;
+    announcedLeaving = false;
     limit = limit.forNextIncarnation();
-    foreign = 0;
-    foreignTokens = 0;
+    otherOwnersRequests = 0;
+    otherOwnersTokens = 0;
     ejection = new EjectionState(settings);
     ejection.startSlowly(nowMillis);
   }
@@ -167,15 +167,15 @@
    *
    * @return whether something is believed of it now that was not
    */
-  boolean acceptFeedback(RelayedFeedback condition, long nowMillis) {
-    if (definition.incarnation().isOtherThan(condition.startedAtMillis())) {
+  boolean acceptFeedback(RelayedFeedback feedback, long nowMillis) {
+    if (definition.incarnation().isOtherThan(feedback.startedAtMillis())) {
       return false;
     }
-    boolean isNew = condition.leaving() && !statedLeaving;
-    statedLeaving |= condition.leaving();
-    long statedAt = nowMillis - condition.ageMillis();
+    boolean isNew = feedback.leaving() && !announcedLeaving;
+    announcedLeaving |= feedback.leaving();
+    long statedAt = nowMillis - feedback.ageMillis();
     isNew |=
-        condition
+        feedback
             .requestsPerSecond()
             .filter(perSecond -> limit.limitReceived(perSecond, statedAt, nowMillis))
             .isPresent();
@@ -187,32 +187,32 @@
     configured = false;
   }
 
-  void list(boolean available, long nowMillis) {
-    if (available && listedOut) {
+  void setListedAvailable(boolean available, long nowMillis) {
+    if (available && listedUnavailable) {
       ejection.startSlowly(nowMillis);
     }
-    listedOut = !available;
+    listedUnavailable = !available;
   }
 
   /** The upstream itself refused new work: it gets none until reports had time to say why. */
   void refused(long nowMillis) {
-    refusedUntil = nowMillis + REFUSED_MILLIS;
+    refusedUntil = nowMillis + REFUSAL_PAUSE_MILLIS;
   }
 
   /** Whether it said itself that it leaves, which ends with its life alone. */
   boolean isAnnouncedLeaving() {
-    return statedLeaving;
+    return announcedLeaving;
   }
 
   /** Whether it takes no new work, however that was learned. */
   boolean isLeaving() {
-    return definition.drained() || reportedLeaving || statedLeaving;
+    return definition.drained() || reportedLeaving || announcedLeaving;
   }
 
   boolean isUsable(long nowMillis) {
     return configured
         && !isLeaving()
-        && !listedOut
+        && !listedUnavailable
         && nowMillis >= refusedUntil
         && !ejection.isEjected(nowMillis);
   }
@@ -223,34 +223,34 @@
   }
 
   /** The upstream had no room: others use it too, or it held more than was known here. */
-  void full(long nowMillis) {
-    refusedUntil = Math.max(refusedUntil, nowMillis + FULL_MILLIS);
+  void refusedAsFull(long nowMillis) {
+    refusedUntil = Math.max(refusedUntil, nowMillis + FULL_PAUSE_MILLIS);
   }
 
   /** Whether a request fits into the memory beside all others, to their ends; true if unknown. */
   boolean hasMemoryFor(PlacementRequest request, long nowMillis, double millisPerToken) {
     int memory = definition.memoryTokens().orElse(UNKNOWN_MEMORY);
     return memory == UNKNOWN_MEMORY
-        || forecast.peakTokensWith(
+        || memoryForecast.peakTokensWith(
                 request.promptTokens(), request.outputTokens(), nowMillis, millisPerToken)
             <= memory;
   }
 
   /** Takes memory for a request from its grant to its end. */
-  void takeMemory(PlacementRequest request) {
+  void reserveMemory(PlacementRequest request) {
     reservedTokens += request.memoryTokens();
-    forecast.add(request.request(), request.promptTokens(), request.outputTokens());
+    memoryForecast.add(request.request(), request.promptTokens(), request.outputTokens());
   }
 
   /** Records that a request has begun to grow. */
-  void generates(PlacementRequest request, long nowMillis) {
-    forecast.generationStarted(request.request(), nowMillis);
+  void generationStarted(PlacementRequest request, long nowMillis) {
+    memoryForecast.generationStarted(request.request(), nowMillis);
   }
 
   /** Gives memory back. */
-  void giveMemory(PlacementRequest request) {
+  void releaseMemory(PlacementRequest request) {
     reservedTokens -= request.memoryTokens();
-    forecast.remove(request.request());
+    memoryForecast.remove(request.request());
   }
 
   /** How many requests of a size it holds at once, by its slots and its memory. */
@@ -270,7 +270,7 @@
     if (isLeaving() || nowMillis < refusedUntil) {
       return "leaving";
     }
-    if (listedOut) {
+    if (listedUnavailable) {
       return "unreachable";
     }
     if (ejection.isEjected(nowMillis)) {
@@ -294,8 +294,8 @@
   /** How many requests it holds at most; an engine may say less than its definition. */
   int slots() {
     int configuredSlots = definition.slots();
-    int stated = reportedSlots > 0 ? Math.min(configuredSlots, reportedSlots) : configuredSlots;
-    return role == UpstreamRole.PLAIN ? (int) (stated * occupancy.factor()) : stated;
+    int reportedOrConfigured = reportedSlots > 0 ? Math.min(configuredSlots, reportedSlots) : configuredSlots;
+    return role == UpstreamRole.PLAIN ? (int) (reportedOrConfigured * occupancy.factor()) : reportedOrConfigured;
   }
 
   /** Slots that this owner may still reserve now; never negative. */
@@ -308,11 +308,11 @@
     if (share < 1) {
       allowed = Math.max(1, (int) (allowed * share));
     }
-    return Math.max(0, allowed - reserved - foreign(nowMillis));
+    return Math.max(0, allowed - reserved - otherOwnersRequests(nowMillis));
   }
 
   double utilisation(long nowMillis) {
-    double bySlots = (reserved + foreign(nowMillis)) / (double) Math.max(1, slots());
+    double bySlots = (reserved + otherOwnersRequests(nowMillis)) / (double) Math.max(1, slots());
     int memory = definition.memoryTokens().orElse(UNKNOWN_MEMORY);
     return memory == UNKNOWN_MEMORY ? bySlots : Math.max(bySlots, reservedTokens / (double) memory);
   }
@@ -328,10 +328,10 @@
   /** Reserves a slot for a request that will be sent to it. */
   void reserve(boolean alone, long nowMillis) {
     limit.granted(nowMillis);
-    hold(alone);
+    reserveSlot(alone);
   }
 
-  private void hold(boolean alone) {
+  private void reserveSlot(boolean alone) {
     reserved++;
     suspects += alone ? 1 : 0;
   }
@@ -354,8 +354,8 @@
    * <p>Without this it would count twice until the next report and hold back grants.
    */
   void adopt(boolean alone) {
-    hold(alone);
-    foreign = Math.max(0, foreign - 1);
+    reserveSlot(alone);
+    otherOwnersRequests = Math.max(0, otherOwnersRequests - 1);
   }
 
   /**
@@ -382,8 +382,8 @@
     }
     reportedRunning = report.running();
     int others = report.running() + report.waiting() - reserved - recentEnds.size();
-    foreign = Math.max(0, others);
-    foreignTokens = Math.max(0, report.queuedPrefillTokens() - queuedTokens);
+    otherOwnersRequests = Math.max(0, others);
+    otherOwnersTokens = Math.max(0, report.queuedPrefillTokens() - queuedTokens);
     reportedSlots = report.slots();
     role = report.role();
     reportedLeaving = report.leaving();
@@ -401,14 +401,14 @@
 
   /** How long a token of a prompt takes in the present role: beside answers, or alone. */
   private double millisPerToken() {
-    MovingAverage own = learnedPerToken();
-    if (own.isLearned()) {
-      return own.value();
+    MovingAverage observed = observedMillisPerToken();
+    if (observed.isLearned()) {
+      return observed.value();
     }
     return role == UpstreamRole.DECODE ? prefillRate.localMillisPerToken() : prefillRate.dedicatedMillisPerToken();
   }
 
-  private MovingAverage learnedPerToken() {
+  private MovingAverage observedMillisPerToken() {
     return role == UpstreamRole.DECODE ? localMillisPerToken : dedicatedMillisPerToken;
   }
 
@@ -417,7 +417,7 @@
   }
 
   double queueMillis(long nowMillis) {
-    double others = foreignTokens * millisPerToken() - (double) (nowMillis - reportedAt);
+    double others = otherOwnersTokens * millisPerToken() - (double) (nowMillis - reportedAt);
     return Math.max(0, busyUntil - nowMillis) + Math.max(0, others);
   }
 
@@ -431,7 +431,7 @@
     if (role == UpstreamRole.DECODE) {
       recentLocalPrefills.add(prefillMillis(tokens), nowMillis);
     }
-    readEndedAt = nowMillis;
+    prefillEndedAt = nowMillis;
     queuedTokens -= tokens;
     busyUntil = nowMillis + queuedTokens * millisPerToken();
   }
@@ -443,13 +443,13 @@
    *     that one, else readers look slower the busier they are
    */
   void learnPrefill(int tokens, long tookMillis, long nowMillis) {
-    learnPrefill(tokens, (double) Math.max(1, Math.min(tookMillis, nowMillis - readEndedAt)));
+    learnPrefill(tokens, (double) Math.max(1, Math.min(tookMillis, nowMillis - prefillEndedAt)));
   }
 
   private void learnPrefill(int tokens, double tookMillis) {
     if (tokens >= SHORT_PROMPT_TOKENS) {
       double perToken = (tookMillis - overheadMillis.value()) / tokens;
-      learnedPerToken().observe(perToken);
+      observedMillisPerToken().observe(perToken);
       if (role == UpstreamRole.PREFILL) {
         prefillRate.learn(perToken);
       }
@@ -464,8 +464,8 @@
   }
 
   /** Whether it has ended reading a prompt less than that long ago. */
-  boolean hasReadWithin(double millis, long nowMillis) {
-    return nowMillis - readEndedAt < millis;
+  boolean hasPrefilledWithin(double millis, long nowMillis) {
+    return nowMillis - prefillEndedAt < millis;
   }
 
   long linkBytes() {
@@ -480,7 +480,7 @@
     linkBytes -= bytes;
   }
 
-  private int foreign(long nowMillis) {
-    return nowMillis - reportedAt > REPORT_STALE_MILLIS ? 0 : foreign;
+  private int otherOwnersRequests(long nowMillis) {
+    return nowMillis - reportedAt > REPORT_STALE_MILLIS ? 0 : otherOwnersRequests;
   }
 }
