--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -148,7 +148,7 @@
       return List.of();
     }
     RunningAttempt attempt = found.get();
-    upstreams.heardOf(attempt.request().entry(), nowMillis);
+    upstreams.messageReceived(attempt.request().entry(), nowMillis);
     conditions.reported(attempt, report, nowMillis);
     if (report.phase() == AttemptPhase.ENDED) {
       end(attempt, report, nowMillis);
@@ -197,7 +197,7 @@
   @Override
   public List<PlacementResult> daemonGone(DaemonId daemon, long nowMillis) {
     memory.gone(daemon, nowMillis);
-    upstreams.gone(daemon);
+    upstreams.daemonFailed(daemon);
     List<RequestId> lost = new ArrayList<>();
     ledger.ofDaemon(daemon).forEach(attempt -> lost.add(attempt.request().request()));
     waiting.values().stream()
@@ -212,7 +212,7 @@
     if (nowMillis >= refreshAt) {
       refreshAt = nowMillis + SHARE_REFRESH_MILLIS;
       organisations.refresh(nowMillis);
-      upstreams.forgetUnused();
+      upstreams.removeUnused();
     }
     List<PlacementResult> results = new ArrayList<>();
     Optional<WaitingAttempt> due = queue.nextDue(nowMillis);
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardUpstreams.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardUpstreams.java
@@ -27,7 +27,7 @@
   private final PrefillRate prefillRate;
   private final PlainOccupancy occupancy = new PlainOccupancy();
   private final Map<UpstreamName, UpstreamState> byName = new TreeMap<>();
-  private final Map<DaemonId, Long> heardAt = new HashMap<>();
+  private final Map<DaemonId, Long> receivedAt = new HashMap<>();
   private List<UpstreamState> all = List.of();
   private double fleetShare = 1;
 
@@ -56,24 +56,24 @@
    * @return the upstreams that have started again since the definitions before
    */
   List<UpstreamName> define(List<UpstreamDefinition> definitions, long nowMillis) {
-    List<UpstreamName> startedAgain = new ArrayList<>();
+    List<UpstreamName> restarted = new ArrayList<>();
     Set<UpstreamName> names = new HashSet<>();
     for (UpstreamDefinition definition : definitions) {
       names.add(definition.name());
-      UpstreamState known =
+      UpstreamState state =
           byName.computeIfAbsent(
               definition.name(),
               name -> new UpstreamState(definition, settings, outputLengths, prefillRate, occupancy));
-      known.limit().fleetShare(fleetShare);
-      if (known.define(definition, nowMillis)) {
-        startedAgain.add(definition.name());
+      state.limit().fleetShare(fleetShare);
+      if (state.define(definition, nowMillis)) {
+        restarted.add(definition.name());
       }
     }
     byName.values().stream()
         .filter(upstream -> !names.contains(upstream.name()))
         .forEach(UpstreamState::undefine);
-    forgetUnused();
-    return startedAgain;
+    removeUnused();
+    return restarted;
   }
 
   /** Sets which part of the daemons the owner of these upstreams sees. */
@@ -83,34 +83,34 @@
   }
 
   /** Records that an entry daemon was heard of. */
-  void heardOf(DaemonId entry, long nowMillis) {
-    heardAt.put(entry, nowMillis);
+  void messageReceived(DaemonId entry, long nowMillis) {
+    receivedAt.put(entry, nowMillis);
   }
 
   /** Records that an entry daemon is gone. */
-  void gone(DaemonId entry) {
-    heardAt.keySet().removeIf(known -> SlotLedger.isRunOf(known, entry));
+  void daemonFailed(DaemonId entry) {
+    receivedAt.keySet().removeIf(daemon -> SlotLedger.isRunOf(daemon, entry));
   }
 
   /** Whether an upstream owes a first sign while another of its role does not. */
-  boolean isSilent(UpstreamState upstream, long nowMillis) {
-    return owesSign(upstream)
+  boolean isUnresponsive(UpstreamState upstream, long nowMillis) {
+    return isProgressOverdue(upstream)
         && all.stream()
             .anyMatch(
                 other ->
                     other.role() == upstream.role()
                         && other.isUsable(nowMillis)
-                        && !owesSign(other));
+                        && !isProgressOverdue(other));
   }
 
-  private boolean owesSign(UpstreamState upstream) {
+  private boolean isProgressOverdue(UpstreamState upstream) {
     return upstream
         .progressWatchdog()
-        .isOverdue(entry -> heardAt.getOrDefault(entry, Long.MIN_VALUE));
+        .isOverdue(entry -> receivedAt.getOrDefault(entry, Long.MIN_VALUE));
   }
 
   /** Forgets upstreams that are no longer configured and hold nothing of ours. */
-  void forgetUnused() {
+  void removeUnused() {
     byName.values().removeIf(upstream -> !upstream.isConfigured() && upstream.reserved() == 0);
     all = new ArrayList<>(byName.values());
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamSelector.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamSelector.java
@@ -269,7 +269,7 @@
   private boolean isOpenReader(UpstreamState upstream, long nowMillis) {
     return freeSlotsOf(upstream, nowMillis) > 0
         && upstream.queueMillis(nowMillis) <= settings.prefillAheadMillis()
-        && !upstreams.isSilent(upstream, nowMillis);
+        && !upstreams.isUnresponsive(upstream, nowMillis);
   }
 
   private static PlacementCandidate local(UpstreamState target, PlacementRequest request) {
@@ -362,7 +362,7 @@
         && upstream.isUsable(nowMillis)
         && freeSlotsOf(upstream, nowMillis) > 0
         && isAllowed(upstream, request)
-        && !upstreams.isSilent(upstream, nowMillis)
+        && !upstreams.isUnresponsive(upstream, nowMillis)
         && (role != UpstreamRole.DECODE || hasMemory(upstream, request, nowMillis));
   }
 
