--- a/core/src/main/java/org/marjoramsail/core/placement/TokenBucket.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/TokenBucket.java
@@ -18,10 +18,10 @@
   private double burst;
   private double credit;
   private long filledAt;
-  private boolean fresh;
+  private boolean fillsOnFirstUse;
 
-  private TokenBucket(boolean fresh, long filledAt) {
-    this.fresh = fresh;
+  private TokenBucket(boolean fillsOnFirstUse, long filledAt) {
+    this.fillsOnFirstUse = fillsOnFirstUse;
     this.filledAt = filledAt;
   }
 
@@ -85,9 +85,9 @@
 
   private void fill(long nowMillis) {
     double gained = (nowMillis - filledAt) / MILLIS_PER_SECOND * perSecond;
-    if (fresh) {
+    if (fillsOnFirstUse) {
       gained = burst;
-      fresh = false;
+      fillsOnFirstUse = false;
     }
     filledAt = Math.max(filledAt, nowMillis);
     credit = Math.min(burst, credit + Math.max(0, gained));
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamRateLimit.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamRateLimit.java
@@ -16,7 +16,7 @@
    * An upstream that wants nothing at all gets a request now and then, else nobody would learn that
    * its need is over.
    */
-  private static final double LEAST_PER_SECOND = 0.25;
+  private static final double MINIMUM_PER_SECOND = 0.25;
 
   /** How long the rate may be saved up, in seconds: more would come at once as a burst. */
   private static final double BURST_SECONDS = 0.5;
@@ -24,10 +24,10 @@
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   private Optional<Double> perSecond = Optional.empty();
-  private TokenBucket bucket = TokenBucket.full();
+  private TokenBucket tokenBucket = TokenBucket.full();
   private double fleetShare = 1;
-  private long heardAt = NEVER;
-  private long endedAt = NEVER;
+  private long limitStatedAt = NEVER;
+  private long limitEndedAt = NEVER;
 
   /** The one of the next life of the upstream, which has said nothing yet. */
   UpstreamRateLimit forNextIncarnation() {
@@ -54,15 +54,15 @@
    * @return whether there was none before
    */
   boolean limitReceived(double newPerSecond, long statedAt, long nowMillis) {
-    if (statedAt < heardAt || statedAt < endedAt) {
+    if (statedAt < limitStatedAt || statedAt < limitEndedAt) {
       return false;
     }
     boolean isNew = perSecond.isEmpty();
     if (isNew) {
-      bucket = TokenBucket.emptyAt(nowMillis);
+      tokenBucket = TokenBucket.emptyAt(nowMillis);
     }
     perSecond = Optional.of(newPerSecond);
-    heardAt = statedAt;
+    limitStatedAt = statedAt;
     apply();
     return isNew;
   }
@@ -74,40 +74,40 @@
    * @return whether that ends one
    */
   boolean limitAbsent(long sentAt, long nowMillis) {
-    if (perSecond.isEmpty() || sentAt <= heardAt) {
+    if (perSecond.isEmpty() || sentAt <= limitStatedAt) {
       return false;
     }
     perSecond = Optional.empty();
-    endedAt = nowMillis;
+    limitEndedAt = nowMillis;
     return true;
   }
 
   /** Whether a request may be sent now. */
   boolean isOpen(long nowMillis) {
-    return perSecond.isEmpty() || bucket.isOpen(nowMillis);
+    return perSecond.isEmpty() || tokenBucket.isOpen(nowMillis);
   }
 
   /** Counts a request that is granted. */
   void granted(long nowMillis) {
     if (perSecond.isPresent()) {
-      bucket.take(1, nowMillis);
+      tokenBucket.take(1, nowMillis);
     }
   }
 
   /** How many requests a millisecond it lets through. */
   double perMilli() {
-    return perSecond.map(UpstreamRateLimit::spendable).orElse(Double.POSITIVE_INFINITY) / 1_000;
+    return perSecond.map(UpstreamRateLimit::effectiveRate).orElse(Double.POSITIVE_INFINITY) / 1_000;
   }
 
   private void apply() {
     perSecond.ifPresent(
         limit -> {
-          double rate = spendable(limit) * fleetShare;
-          bucket.limit(rate, Math.max(1, rate * BURST_SECONDS));
+          double rate = effectiveRate(limit) * fleetShare;
+          tokenBucket.limit(rate, Math.max(1, rate * BURST_SECONDS));
         });
   }
 
-  private static double spendable(double limit) {
-    return Math.max(LEAST_PER_SECOND, limit);
+  private static double effectiveRate(double limit) {
+    return Math.max(MINIMUM_PER_SECOND, limit);
   }
 }
