--- a/core/src/main/java/org/marjoramsail/core/placement/PrefixIndex.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PrefixIndex.java
@@ -13,9 +13,9 @@
 final class PrefixIndex {
 
   private static final int ROWS = 512;
-  private static final int PLACES = 8;
+  private static final int WAYS = 8;
 
-  private final long[] table = new long[ROWS * PLACES];
+  private final long[] table = new long[ROWS * WAYS];
   private int size;
 
   int size() {
@@ -24,23 +24,23 @@
 
   void add(long hash) {
     int row = rowOf(hash);
-    int place = find(row, hash);
-    if (place < 0) {
-      place = PLACES - 1;
-      size += table[row + place] == 0 ? 1 : 0;
+    int way = find(row, hash);
+    if (way < 0) {
+      way = WAYS - 1;
+      size += table[row + way] == 0 ? 1 : 0;
     }
-    System.arraycopy(table, row, table, row + 1, place);
+    System.arraycopy(table, row, table, row + 1, way);
     table[row] = hash;
   }
 
   void remove(long hash) {
     int row = rowOf(hash);
-    int place = find(row, hash);
-    if (place < 0) {
+    int way = find(row, hash);
+    if (way < 0) {
       return;
     }
-    System.arraycopy(table, row + place + 1, table, row + place, PLACES - 1 - place);
-    table[row + PLACES - 1] = 0;
+    System.arraycopy(table, row + way + 1, table, row + way, WAYS - 1 - way);
+    table[row + WAYS - 1] = 0;
     size--;
   }
 
@@ -50,15 +50,15 @@
   }
 
   /** Adds the marks of a prompt. */
-  void addAll(List<Long> marks) {
-    marks.forEach(this::add);
+  void addAll(List<Long> sampledHashes) {
+    sampledHashes.forEach(this::add);
   }
 
   /** Removes the marks of a prompt that lie beyond so many leading blocks. */
-  void removeBeyond(List<Long> marks, int leadingBlocks) {
-    for (int place = 0; place < marks.size(); place++) {
-      if (SampledPrefixHashes.blocks(place) > leadingBlocks) {
-        remove(marks.get(place));
+  void removeBeyond(List<Long> sampledHashes, int leadingBlocks) {
+    for (int position = 0; position < sampledHashes.size(); position++) {
+      if (SampledPrefixHashes.blocks(position) > leadingBlocks) {
+        remove(sampledHashes.get(position));
       }
     }
   }
@@ -67,21 +67,21 @@
    * How many leading blocks of a prompt are here for certain; the hashes are chained, so halving
    * finds the last mark.
    */
-  int match(List<Long> marks) {
-    if (size == 0 || marks.isEmpty() || !contains(marks.get(0))) {
+  int match(List<Long> sampledHashes) {
+    if (size == 0 || sampledHashes.isEmpty() || !contains(sampledHashes.get(0))) {
       return 0;
     }
-    int known = 1;
-    int beyond = marks.size() + 1;
-    while (beyond - known > 1) {
-      int middle = (known + beyond) >>> 1;
-      if (contains(marks.get(middle - 1))) {
-        known = middle;
+    int matched = 1;
+    int unmatched = sampledHashes.size() + 1;
+    while (unmatched - matched > 1) {
+      int middle = (matched + unmatched) >>> 1;
+      if (contains(sampledHashes.get(middle - 1))) {
+        matched = middle;
       } else {
-        beyond = middle;
+        unmatched = middle;
       }
     }
-    return SampledPrefixHashes.blocks(known - 1);
+    return SampledPrefixHashes.blocks(matched - 1);
   }
 
   private boolean contains(long hash) {
@@ -89,15 +89,15 @@
   }
 
   private int find(int row, long hash) {
-    for (int place = 0; place < PLACES; place++) {
-      if (table[row + place] == hash) {
-        return hash == 0 ? -1 : place;
+    for (int way = 0; way < WAYS; way++) {
+      if (table[row + way] == hash) {
+        return hash == 0 ? -1 : way;
       }
     }
     return -1;
   }
 
   private static int rowOf(long hash) {
-    return (int) (hash & (ROWS - 1)) * PLACES;
+    return (int) (hash & (ROWS - 1)) * WAYS;
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/SampledPrefixHashes.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/SampledPrefixHashes.java
@@ -13,26 +13,26 @@
 public final class SampledPrefixHashes {
 
   /** Enough for prompts of 32,768 tokens; what is longer counts as not cached. */
-  private static final int MOST_MARKS = 22;
+  private static final int MAXIMUM_HASHES = 22;
 
   private SampledPrefixHashes() {}
 
   /** How many leading blocks the mark at a place covers; places count from zero. */
-  public static int blocks(int place) {
-    if (place == 0) {
+  public static int blocks(int position) {
+    if (position == 0) {
       return 1;
     }
-    boolean isPowerOfTwo = place % 2 == 1;
-    return isPowerOfTwo ? 1 << ((place + 1) / 2) : 3 << (place / 2 - 1);
+    boolean isPowerOfTwo = position % 2 == 1;
+    return isPowerOfTwo ? 1 << ((position + 1) / 2) : 3 << (position / 2 - 1);
   }
 
   /** The hashes of a prompt's marks, the shortest prefix first. */
   public static List<Long> of(String prompt) {
-    List<Long> hashes = PrefixHasher.hashes(prompt, blocks(MOST_MARKS - 1));
-    List<Long> marks = new ArrayList<>();
-    for (int place = 0; place < MOST_MARKS && blocks(place) <= hashes.size(); place++) {
-      marks.add(hashes.get(blocks(place) - 1));
+    List<Long> hashes = PrefixHasher.hashes(prompt, blocks(MAXIMUM_HASHES - 1));
+    List<Long> sampledHashes = new ArrayList<>();
+    for (int position = 0; position < MAXIMUM_HASHES && blocks(position) <= hashes.size(); position++) {
+      sampledHashes.add(hashes.get(blocks(position) - 1));
     }
-    return marks;
+    return sampledHashes;
   }
 }
