--- a/core/src/main/java/org/marjoramsail/core/placement/MovingAverage.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/MovingAverage.java
@@ -9,15 +9,15 @@
 final class MovingAverage {
 
   /** The weight of one sample once there are enough of them. */
-  private static final double LEAST_WEIGHT = 0.1;
+  private static final double MINIMUM_WEIGHT = 0.1;
 
-  private static final double LARGEST_STEP_FACTOR = 4;
+  private static final double MAXIMUM_STEP_FACTOR = 4;
 
   private double value;
   private double weight = 1;
 
-  MovingAverage(double first) {
-    this.value = first;
+  MovingAverage(double initialValue) {
+    this.value = initialValue;
   }
 
   double value() {
@@ -25,7 +25,7 @@
   }
 
   /** Whether anything was observed, so that the value is no guess. */
-  boolean isLearned() {
+  boolean hasObservations() {
     return weight < 1;
   }
 
@@ -35,8 +35,8 @@
       return;
     }
     double bounded =
-        Math.max(value / LARGEST_STEP_FACTOR, Math.min(value * LARGEST_STEP_FACTOR, sample));
-    weight = Math.max(LEAST_WEIGHT, weight / (weight + 1));
+        Math.max(value / MAXIMUM_STEP_FACTOR, Math.min(value * MAXIMUM_STEP_FACTOR, sample));
+    weight = Math.max(MINIMUM_WEIGHT, weight / (weight + 1));
     value += weight * (bounded - value);
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementEstimates.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementEstimates.java
@@ -6,34 +6,34 @@
 /** What the placer of one shard has learned from attempts that ended. */
 final class PlacementEstimates {
 
-  private static final int MOST_RULES = 256;
-  private static final int LEAST_ENDS = 12;
-  private static final double FIRST_OUTPUT_SHARE = 0.5;
-  private static final double FIRST_HOLD_MILLIS = 1_000;
-  private static final double FIRST_HELD_TOKENS = 1_000;
-  private static final double FIRST_PAUSE_SHARE = 0.8;
-  private static final double LEAST_PAUSE_SHARE = 0.1;
-  private static final double LARGEST_PAUSE_SHARE = 1.5;
+  private static final int MAXIMUM_RULES = 256;
+  private static final int MINIMUM_COMPLETED_REQUESTS = 12;
+  private static final double INITIAL_OUTPUT_SHARE = 0.5;
+  private static final double INITIAL_HOLD_MILLIS = 1_000;
+  private static final double INITIAL_HELD_TOKENS = 1_000;
+  private static final double INITIAL_PAUSE_SHARE = 0.8;
+  private static final double MINIMUM_PAUSE_SHARE = 0.1;
+  private static final double MAXIMUM_PAUSE_SHARE = 1.5;
 
   /**
    * How much of the longest pause between two pieces may be used up by what is foretold; the way of
    * a piece to its caller and errors of the forecast take the rest.
    */
-  private static final double USED_OF_PAUSE = 0.85;
+  private static final double USABLE_PAUSE_SHARE = 0.85;
 
-  private static final long LEARNABLE_TRANSFER_BYTES = 1_000_000;
+  private static final long MINIMUM_TRANSFER_BYTES = 1_000_000;
 
   private final Cache<String, MovingAverage> outputShares =
-      Caffeine.newBuilder().maximumSize(MOST_RULES).executor(Runnable::run).build();
+      Caffeine.newBuilder().maximumSize(MAXIMUM_RULES).executor(Runnable::run).build();
   private final OutputLengthDistribution outputLengths = OutputLengthDistribution.initialEstimate();
   private final MovingAverage decodeMillisPerToken;
-  private final MovingAverage holdMillis = new MovingAverage(FIRST_HOLD_MILLIS);
-  private final MovingAverage heldTokens = new MovingAverage(FIRST_HELD_TOKENS);
-  private final MovingAverage promptTokens = new MovingAverage(FIRST_HELD_TOKENS);
+  private final MovingAverage holdMillis = new MovingAverage(INITIAL_HOLD_MILLIS);
+  private final MovingAverage heldTokens = new MovingAverage(INITIAL_HELD_TOKENS);
+  private final MovingAverage promptTokens = new MovingAverage(INITIAL_HELD_TOKENS);
   private final MovingAverage linkBytesPerMilli;
-  private final MovingAverage pauseShare = new MovingAverage(FIRST_PAUSE_SHARE);
+  private final MovingAverage pauseShare = new MovingAverage(INITIAL_PAUSE_SHARE);
 
-  private long ends;
+  private long completedRequests;
   private long grants;
 
   PlacementEstimates(PlacementSettings settings) {
@@ -60,7 +60,7 @@
   }
 
   void learnTransfer(long bytes, long tookMillis) {
-    if (bytes >= LEARNABLE_TRANSFER_BYTES && tookMillis > 0) {
+    if (bytes >= MINIMUM_TRANSFER_BYTES && tookMillis > 0) {
       linkBytesPerMilli.observe((double) bytes / tookMillis);
     }
   }
@@ -100,12 +100,12 @@
    * <p>Before that the estimates are guesses: an owner that begins in a burst would refuse by them
    * what fits easily, so that few answers come to correct them.
    */
-  boolean isLearned() {
-    return ends >= LEAST_ENDS;
+  boolean hasEnoughSamples() {
+    return completedRequests >= MINIMUM_COMPLETED_REQUESTS;
   }
 
   void learnHold(long heldMillis) {
-    ends++;
+    completedRequests++;
     holdMillis.observe((double) heldMillis);
   }
 
@@ -118,16 +118,16 @@
   }
 
   /** How long the tokens of one piece take, in milliseconds. */
-  double pieceMillis(PlacementRequest request) {
+  double chunkMillis(PlacementRequest request) {
     return request.pieces().tokens() * decodeMillisPerToken();
   }
 
   /**
    * How long a prompt may be read beside answers that may not pause for longer, in milliseconds.
    */
-  double readingWithinPause(PlacementRequest request) {
-    double longest = request.pieces().longestPauseMillis() * USED_OF_PAUSE;
-    return (longest - pieceMillis(request)) / pauseShare.value();
+  double localPrefillMillisWithinPause(PlacementRequest request) {
+    double longest = request.pieces().longestPauseMillis() * USABLE_PAUSE_SHARE;
+    return (longest - chunkMillis(request)) / pauseShare.value();
   }
 
   /**
@@ -137,12 +137,12 @@
    * one that reads in large parts keeps a single piece waiting for all of it. A pause that is
    * longer than the reading explains has another cause.
    *
-   * @param readingMillis the longest reading beside it; zero where there was none
+   * @param localPrefillMillis the longest reading beside it; zero where there was none
    */
-  void learnPause(PlacementRequest request, long pauseMillis, double readingMillis) {
-    double share = (pauseMillis - pieceMillis(request)) / readingMillis;
-    if (readingMillis > 0 && share <= LARGEST_PAUSE_SHARE) {
-      pauseShare.observe(Math.max(LEAST_PAUSE_SHARE, share));
+  void learnPause(PlacementRequest request, long pauseMillis, double localPrefillMillis) {
+    double share = (pauseMillis - chunkMillis(request)) / localPrefillMillis;
+    if (localPrefillMillis > 0 && share <= MAXIMUM_PAUSE_SHARE) {
+      pauseShare.observe(Math.max(MINIMUM_PAUSE_SHARE, share));
     }
   }
 
@@ -152,6 +152,6 @@
   }
 
   private MovingAverage outputShare(String rule) {
-    return outputShares.get(rule, name -> new MovingAverage(FIRST_OUTPUT_SHARE));
+    return outputShares.get(rule, name -> new MovingAverage(INITIAL_OUTPUT_SHARE));
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -380,7 +380,7 @@
    */
   private long serviceMillis(PlacementRequest request, double leastMillis) {
     double targetWithin = Math.max(0, WaitingAttempt.targetWithin(request));
-    boolean isKnown = !request.isGeneration() && estimates.isLearned();
+    boolean isKnown = !request.isGeneration() && estimates.hasEnoughSamples();
     double answering = isKnown ? Math.min(estimates.holdMillis(), targetWithin / 2) : 0;
     return (long) Math.min(Math.max(leastMillis, answering), targetWithin);
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamSelector.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamSelector.java
@@ -243,11 +243,11 @@
    */
   private Optional<PlacementCandidate> overflow(PlacementRequest request, long nowMillis) {
     UpstreamState best = null;
-    double bestMillis = estimates.readingWithinPause(request);
+    double bestMillis = estimates.localPrefillMillisWithinPause(request);
     for (UpstreamState upstream : upstreams.all()) {
       if (!isCandidate(upstream, UpstreamRole.DECODE, request, nowMillis)
           || !isOpenForOverflow(upstream, nowMillis)
-          || upstream.hasPrefilledWithin(estimates.pieceMillis(request), nowMillis)) {
+          || upstream.hasPrefilledWithin(estimates.chunkMillis(request), nowMillis)) {
         continue;
       }
       double millis = upstream.prefillMillis(unread(upstream, request));
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
@@ -402,7 +402,7 @@
   /** How long a token of a prompt takes in the present role: beside answers, or alone. */
   private double millisPerToken() {
     MovingAverage observed = observedMillisPerToken();
-    if (observed.isLearned()) {
+    if (observed.hasObservations()) {
       return observed.value();
     }
     return role == UpstreamRole.DECODE ? prefillRate.localMillisPerToken() : prefillRate.dedicatedMillisPerToken();
--- a/core/src/main/java/org/marjoramsail/core/placement/WaitEstimator.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/WaitEstimator.java
@@ -57,7 +57,7 @@
       return Optional.of(Refusal.notRun(RefusalReason.ORGANISATION_RATE, detail, rateMillis));
     }
     double wait = waitMillis(attempt, nowMillis);
-    boolean isGuess = !estimates.isLearned() && leftMillis >= 0;
+    boolean isGuess = !estimates.hasEnoughSamples() && leftMillis >= 0;
     if (isGuess || wait * CONFIDENCE <= leftMillis) {
       return Optional.empty();
     }
--- a/core/src/test/java/org/marjoramsail/core/placement/PauseShareTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PauseShareTest.java
@@ -24,31 +24,31 @@
   void anEngineThatReadsInSmallPartsMayReadLongPrompts() {
     learn(0.25);
 
-    assertThat(estimates.readingWithinPause(request)).isGreaterThan(600);
+    assertThat(estimates.localPrefillMillisWithinPause(request)).isGreaterThan(600);
   }
 
   @Test
   void anEngineThatReadsAllAtOnceMayNotReadLongerThanThePause() {
     learn(1);
 
-    assertThat(estimates.readingWithinPause(request)).isBetween(180.0, 230.0);
+    assertThat(estimates.localPrefillMillisWithinPause(request)).isBetween(180.0, 230.0);
   }
 
   /** A stream was preempted for a second; that says nothing about reading. */
   @Test
   void aPauseThatTheReadingDoesNotExplainIsNotLearnedFrom() {
     learn(1);
-    double before = estimates.readingWithinPause(request);
+    double before = estimates.localPrefillMillisWithinPause(request);
 
     estimates.learnPause(request, 2_000, 100);
     estimates.learnPause(request, 2_000, 0);
 
-    assertThat(estimates.readingWithinPause(request)).isEqualTo(before);
+    assertThat(estimates.localPrefillMillisWithinPause(request)).isEqualTo(before);
   }
 
   private void learn(double share) {
     for (int answer = 0; answer < 40; answer++) {
-      double pause = estimates.pieceMillis(request) + share * 200;
+      double pause = estimates.chunkMillis(request) + share * 200;
       estimates.learnPause(request, Math.round(pause), 200);
     }
   }
