--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementSettings.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementSettings.java
@@ -12,9 +12,9 @@
  * @param prefillAheadMillis how much unread work a prefill upstream is given ahead of need
  * @param kvLifetimeMillis how long a KV cache lives after its prefill
  * @param localPrefillMillis a prompt that a decode upstream reads within this is not disaggregated
- * @param readsBesideAnswers whether decode upstreams read prompts while all prefill upstreams are
+ * @param localPrefillWhenBusy whether decode upstreams read prompts while all prefill upstreams are
  *     busy
- * @param localSlowdown first guess of how many times longer a decode upstream takes to read a
+ * @param localPrefillSlowdown first guess of how many times longer a decode upstream takes to read a
  *     prompt
  * @param quickHeadroom share of the slots that only quick requests may take while there are any
  * @param maximumWaiting how many attempts wait in a shard at most
@@ -36,8 +36,8 @@
     long prefillAheadMillis,
     long kvLifetimeMillis,
     long localPrefillMillis,
-    boolean readsBesideAnswers,
-    double localSlowdown,
+    boolean localPrefillWhenBusy,
+    double localPrefillSlowdown,
     double quickHeadroom,
     int maximumWaiting,
     long ageingMillis,
@@ -122,8 +122,8 @@
         prefillAheadMillis,
         kvLifetimeMillis,
         localPrefillMillis,
-        readsBesideAnswers,
-        localSlowdown,
+        localPrefillWhenBusy,
+        localPrefillSlowdown,
         quickHeadroom,
         newMaximumWaiting,
         ageingMillis,
--- a/core/src/main/java/org/marjoramsail/core/placement/PrefillRate.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PrefillRate.java
@@ -11,12 +11,12 @@
 final class PrefillRate {
 
   private final MovingAverage dedicatedMillisPerToken;
-  private final double localSlowdown;
+  private final double localPrefillSlowdown;
 
   /** Starts with the rates of the settings. */
   PrefillRate(PlacementSettings settings) {
     this.dedicatedMillisPerToken = new MovingAverage(1 / settings.prefillTokensPerMilli());
-    this.localSlowdown = settings.localSlowdown();
+    this.localPrefillSlowdown = settings.localPrefillSlowdown();
   }
 
   /** Handles what a token took on a prefill upstream. */
@@ -31,6 +31,6 @@
 
   /** What a token is expected to take on a decode upstream, beside its answers. */
   double localMillisPerToken() {
-    return dedicatedMillisPerToken.value() * localSlowdown;
+    return dedicatedMillisPerToken.value() * localPrefillSlowdown;
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamSelector.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamSelector.java
@@ -261,7 +261,7 @@
 
   private boolean isOpenForOverflow(UpstreamState upstream, long nowMillis) {
     return upstream.role() == UpstreamRole.DECODE
-        && settings.readsBesideAnswers()
+        && settings.localPrefillWhenBusy()
         && freeSlotsOf(upstream, nowMillis) > 0
         && upstream.queueMillis(nowMillis) <= 0;
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
@@ -79,7 +79,7 @@
     this.settings = settings;
     this.dedicatedMillisPerToken = new MovingAverage(1 / settings.prefillTokensPerMilli());
     this.localMillisPerToken =
-        new MovingAverage(settings.localSlowdown() / settings.prefillTokensPerMilli());
+        new MovingAverage(settings.localPrefillSlowdown() / settings.prefillTokensPerMilli());
     this.overheadMillis = new MovingAverage(settings.prefillOverheadMillis());
     this.ejection = new EjectionState(settings);
   }
