--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -101,7 +101,7 @@
       return List.of();
     }
     forget(request.request(), nowMillis);
-    double leastMillis = selector.leastMillis(request, nowMillis);
+    double leastMillis = selector.minimumMillis(request, nowMillis);
     Optional<Refusal> refusal = refusalAtArrival(request, leastMillis);
     if (refusal.isPresent()) {
       return List.of(refused(request, refusal.get()));
@@ -354,7 +354,7 @@
 
   private WaitingAttempt enqueue(PlacementRequest request, double leastMillis, long nowMillis) {
     if (request.serviceClass() == ServiceClass.QUICK) {
-      selector.quickSeen(nowMillis);
+      selector.quickRequestArrived(nowMillis);
     }
     OrganisationState organisation = organisations.of(request.organisation());
     WaitingAttempt attempt =
@@ -363,7 +363,7 @@
             organisation,
             nextSequence++,
             serviceMillis(request, leastMillis),
-            selector.needsReader(request, nowMillis),
+            selector.needsPrefillUpstream(request, nowMillis),
             request.serviceClass().isWantedLate() && returning.isBack(request.content(), nowMillis),
             settings,
             nowMillis);
@@ -446,7 +446,7 @@
     if (selector.freeSlots(ServiceClass.QUICK, nowMillis) <= 0) {
       return Optional.empty();
     }
-    boolean isReaderOpen = selector.isReaderOpen(nowMillis);
+    boolean isReaderOpen = selector.hasPrefillCapacity(nowMillis);
     int lastServed = WaitingQueue.LANES;
     for (WaitingQueue.Lane lane : queue.lanesInOrder()) {
       if (lane.index() > lastServed || (lane.needsReader() && !isReaderOpen)) {
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamSelector.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamSelector.java
@@ -16,15 +16,15 @@
   static final int BLOCK_TOKENS = 16;
 
   /** A transfer starts only if those before it on its links take less of the KV lifetime. */
-  private static final double LARGEST_LINK_SHARE = 0.5;
+  private static final double MAXIMUM_LINK_SHARE = 0.5;
 
   /** A plain upstream of the entry's own zone is preferred until it is that full. */
-  private static final double ZONE_YIELDS_AT = 0.75;
+  private static final double ZONE_PREFERENCE_LIMIT = 0.75;
 
   /** How much a full upstream counts like later, in milliseconds: it generates more slowly. */
   private static final double FULL_PENALTY_MILLIS = 20;
 
-  private static final long QUICK_MEMORY_MILLIS = 10_000;
+  private static final long QUICK_WINDOW_MILLIS = 10_000;
 
   private final ShardUpstreams upstreams;
   private final PlacementSettings settings;
@@ -55,19 +55,19 @@
   }
 
   /** Notes that there are quick requests, so that slots are kept for more of them. */
-  void quickSeen(long nowMillis) {
-    quickUntil = nowMillis + QUICK_MEMORY_MILLIS;
+  void quickRequestArrived(long nowMillis) {
+    quickUntil = nowMillis + QUICK_WINDOW_MILLIS;
   }
 
   /** Whether a prefill upstream has to read its prompt, as far as can be told at its arrival. */
-  boolean needsReader(PlacementRequest request, long nowMillis) {
+  boolean needsPrefillUpstream(PlacementRequest request, long nowMillis) {
     if (!request.isGeneration() || request.kvHeldBy().isPresent()) {
       return false;
     }
     for (UpstreamState upstream : upstreams.all()) {
       if (upstream.role() == UpstreamRole.DECODE
           && upstream.isUsable(nowMillis)
-          && upstream.prefillMillis(unread(upstream, request)) <= settings.localPrefillMillis()) {
+          && upstream.prefillMillis(uncachedTokens(upstream, request)) <= settings.localPrefillMillis()) {
         return false;
       }
     }
@@ -75,25 +75,25 @@
   }
 
   /** The least time from a start to its target, on idle upstreams: its first or its last token. */
-  double leastMillis(PlacementRequest request, long nowMillis) {
+  double minimumMillis(PlacementRequest request, long nowMillis) {
     if (!request.isGeneration()) {
       return 0;
     }
-    double least = Double.POSITIVE_INFINITY;
+    double minimum = Double.POSITIVE_INFINITY;
     double transfer = transferBytes(request) / estimates.linkBytesPerMilli();
     for (UpstreamState upstream : upstreams.all()) {
-      boolean isReader = upstream.role() == UpstreamRole.PREFILL;
-      if (isReader && upstream.isUsable(nowMillis)) {
-        least = Math.min(least, upstream.prefillMillis(unread(upstream, request)) + transfer);
+      boolean isPrefillUpstream = upstream.role() == UpstreamRole.PREFILL;
+      if (isPrefillUpstream && upstream.isUsable(nowMillis)) {
+        minimum = Math.min(minimum, upstream.prefillMillis(uncachedTokens(upstream, request)) + transfer);
       }
     }
-    boolean isRead = request.kvHeldBy().isPresent();
-    double untilFirst = isRead || Double.isInfinite(least) ? 0 : least;
+    boolean hasLiveKv = request.kvHeldBy().isPresent();
+    double untilFirstToken = hasLiveKv || Double.isInfinite(minimum) ? 0 : minimum;
     double generating =
         request.serviceClass().mayWait()
             ? estimates.outputTokens(request) * estimates.decodeMillisPerToken()
             : 0;
-    return untilFirst + generating;
+    return untilFirstToken + generating;
   }
 
   /** Slots that are free now on upstreams that end a request, for a class of requests. */
@@ -111,15 +111,15 @@
   }
 
   /** Whether any upstream takes a prompt to read now. */
-  boolean isReaderOpen(long nowMillis) {
+  boolean hasPrefillCapacity(long nowMillis) {
     boolean isAnyUsable = false;
     for (UpstreamState upstream : upstreams.all()) {
       if (!upstream.isUsable(nowMillis)) {
         continue;
       }
-      boolean isReader = upstream.role() == UpstreamRole.PREFILL;
-      isAnyUsable |= isReader;
-      if (isReader ? isOpenReader(upstream, nowMillis) : isOpenForOverflow(upstream, nowMillis)) {
+      boolean isPrefillUpstream = upstream.role() == UpstreamRole.PREFILL;
+      isAnyUsable |= isPrefillUpstream;
+      if (isPrefillUpstream ? isOpenForPrefill(upstream, nowMillis) : isOpenForOverflow(upstream, nowMillis)) {
         return true;
       }
     }
@@ -129,15 +129,15 @@
   /** Chooses for one attempt; what it lacks is noted in it when there is no choice. */
   Optional<PlacementCandidate> select(WaitingAttempt attempt, long nowMillis) {
     PlacementRequest request = attempt.request();
-    boolean isRead = attempt.liveKv(nowMillis).isPresent();
-    if (!isRead && freeSlots(request.serviceClass(), nowMillis) <= 0) {
+    boolean hasLiveKv = attempt.liveKv(nowMillis).isPresent();
+    if (!hasLiveKv && freeSlots(request.serviceClass(), nowMillis) <= 0) {
       attempt.missing(missingSlot(request, nowMillis));
       return Optional.empty();
     }
     if (!request.isGeneration()) {
       return selectPlain(attempt, nowMillis);
     }
-    return isRead ? selectForLiveKv(attempt, nowMillis) : selectEngines(attempt, nowMillis);
+    return hasLiveKv ? selectForLiveKv(attempt, nowMillis) : selectEngines(attempt, nowMillis);
   }
 
   private MissingResource missingSlot(PlacementRequest request, long nowMillis) {
@@ -160,8 +160,8 @@
         continue;
       }
       double utilisation = upstream.utilisation(nowMillis);
-      boolean isNear = zone.isPresent() && zone.get().equals(upstream.availabilityZone());
-      double score = isNear && utilisation < ZONE_YIELDS_AT ? utilisation - 1 : utilisation;
+      boolean isSameZone = zone.isPresent() && zone.get().equals(upstream.availabilityZone());
+      double score = isSameZone && utilisation < ZONE_PREFERENCE_LIMIT ? utilisation - 1 : utilisation;
       if (score < bestScore) {
         bestScore = score;
         best = upstream;
@@ -190,47 +190,47 @@
 
   private Optional<PlacementCandidate> selectEngines(WaitingAttempt attempt, long nowMillis) {
     PlacementRequest request = attempt.request();
-    UpstreamState local = bestLocal(request, nowMillis);
-    if (local == null) {
+    UpstreamState localUpstream = bestLocal(request, nowMillis);
+    if (localUpstream == null) {
       attempt.missing(missingSlot(request, nowMillis));
       return Optional.empty();
     }
-    if (local.prefillMillis(unread(local, request)) <= settings.localPrefillMillis()) {
-      return Optional.of(local(local, request));
+    if (localUpstream.prefillMillis(uncachedTokens(localUpstream, request)) <= settings.localPrefillMillis()) {
+      return Optional.of(localPrefill(localUpstream, request));
     }
     boolean isAnyUsable = false;
-    UpstreamState reader = null;
-    double readerEnd = Double.POSITIVE_INFINITY;
+    UpstreamState prefillUpstream = null;
+    double earliestEnd = Double.POSITIVE_INFINITY;
     for (UpstreamState upstream : upstreams.all()) {
       if (upstream.role() != UpstreamRole.PREFILL || !upstream.isUsable(nowMillis)) {
         continue;
       }
       isAnyUsable = true;
-      boolean isOpen = isOpenReader(upstream, nowMillis) && isAllowed(upstream, request);
-      double end = isOpen ? upstream.prefillEnd(unread(upstream, request), nowMillis) : readerEnd;
-      if (end < readerEnd) {
-        readerEnd = end;
-        reader = upstream;
+      boolean isOpen = isOpenForPrefill(upstream, nowMillis) && isAllowed(upstream, request);
+      double end = isOpen ? upstream.prefillEnd(uncachedTokens(upstream, request), nowMillis) : earliestEnd;
+      if (end < earliestEnd) {
+        earliestEnd = end;
+        prefillUpstream = upstream;
       }
     }
     if (!isAnyUsable) {
       // All prefill upstreams are gone: callers would see refusals though decode upstreams can
       // read prompts themselves. Slower answers are better, and the slots still bound them.
-      return Optional.of(local(local, request));
+      return Optional.of(localPrefill(localUpstream, request));
     }
-    if (reader == null) {
-      Optional<PlacementCandidate> overflow = overflow(request, nowMillis);
-      if (overflow.isEmpty()) {
+    if (prefillUpstream == null) {
+      Optional<PlacementCandidate> localOverflow = localOverflow(request, nowMillis);
+      if (localOverflow.isEmpty()) {
         attempt.missing(MissingResource.PREFILL_CAPACITY);
       }
-      return overflow;
+      return localOverflow;
     }
-    UpstreamState target = bestDecode(request, reader, nowMillis);
-    if (target == null || linkQueueMillis(reader, target) > largestLinkQueueMillis()) {
+    UpstreamState target = bestDecode(request, prefillUpstream, nowMillis);
+    if (target == null || linkQueueMillis(prefillUpstream, target) > maximumLinkQueueMillis()) {
       attempt.missing(MissingResource.LINK);
       return Optional.empty();
     }
-    return Optional.of(disaggregated(request, reader, target, unread(reader, request), true));
+    return Optional.of(disaggregated(request, prefillUpstream, target, uncachedTokens(prefillUpstream, request), true));
   }
 
   /**
@@ -241,7 +241,7 @@
    * each reads one prompt at a time, and only one that leaves the pause as short as they need it:
    * prompts of eight thousand tokens, read in this way, made ten streams late each.
    */
-  private Optional<PlacementCandidate> overflow(PlacementRequest request, long nowMillis) {
+  private Optional<PlacementCandidate> localOverflow(PlacementRequest request, long nowMillis) {
     UpstreamState best = null;
     double bestMillis = estimates.localPrefillMillisWithinPause(request);
     for (UpstreamState upstream : upstreams.all()) {
@@ -250,13 +250,13 @@
           || upstream.hasPrefilledWithin(estimates.chunkMillis(request), nowMillis)) {
         continue;
       }
-      double millis = upstream.prefillMillis(unread(upstream, request));
+      double millis = upstream.prefillMillis(uncachedTokens(upstream, request));
       if (millis <= bestMillis) {
         bestMillis = millis;
         best = upstream;
       }
     }
-    return Optional.ofNullable(best).map(target -> local(target, request));
+    return Optional.ofNullable(best).map(target -> localPrefill(target, request));
   }
 
   private boolean isOpenForOverflow(UpstreamState upstream, long nowMillis) {
@@ -266,14 +266,14 @@
         && upstream.queueMillis(nowMillis) <= 0;
   }
 
-  private boolean isOpenReader(UpstreamState upstream, long nowMillis) {
+  private boolean isOpenForPrefill(UpstreamState upstream, long nowMillis) {
     return freeSlotsOf(upstream, nowMillis) > 0
         && upstream.queueMillis(nowMillis) <= settings.prefillAheadMillis()
         && !upstreams.isUnresponsive(upstream, nowMillis);
   }
 
-  private static PlacementCandidate local(UpstreamState target, PlacementRequest request) {
-    int uncachedTokens = unread(target, request);
+  private static PlacementCandidate localPrefill(UpstreamState target, PlacementRequest request) {
+    int uncachedTokens = uncachedTokens(target, request);
     return new PlacementCandidate(
         GrantMode.LOCAL_PREFILL,
         Optional.empty(),
@@ -287,19 +287,19 @@
 
   private PlacementCandidate disaggregated(
       PlacementRequest request,
-      UpstreamState reader,
+      UpstreamState prefillUpstream,
       UpstreamState target,
       int uncachedTokens,
       boolean isPrefillNeeded) {
     return new PlacementCandidate(
         GrantMode.DISAGGREGATED,
-        Optional.of(reader),
+        Optional.of(prefillUpstream),
         target,
         isPrefillNeeded,
         uncachedTokens,
         transferBytes(request),
-        reader.prefillMillis(uncachedTokens),
-        transferMillis(request, reader, target));
+        prefillUpstream.prefillMillis(uncachedTokens),
+        transferMillis(request, prefillUpstream, target));
   }
 
   /** The decode upstream that could read the prompt itself soonest. */
@@ -312,7 +312,7 @@
       }
       double score =
           upstream.queueMillis(nowMillis)
-              + upstream.prefillMillis(unread(upstream, request))
+              + upstream.prefillMillis(uncachedTokens(upstream, request))
               + upstream.utilisation(nowMillis) * FULL_PENALTY_MILLIS;
       if (score < bestScore) {
         bestScore = score;
@@ -322,7 +322,7 @@
     return best;
   }
 
-  private UpstreamState bestDecode(PlacementRequest request, UpstreamState reader, long nowMillis) {
+  private UpstreamState bestDecode(PlacementRequest request, UpstreamState prefillUpstream, long nowMillis) {
     UpstreamState best = null;
     double bestScore = Double.POSITIVE_INFINITY;
     for (UpstreamState upstream : upstreams.all()) {
@@ -330,7 +330,7 @@
         continue;
       }
       double score =
-          transferMillis(request, reader, upstream)
+          transferMillis(request, prefillUpstream, upstream)
               + upstream.utilisation(nowMillis) * FULL_PENALTY_MILLIS;
       if (score < bestScore) {
         bestScore = score;
@@ -341,19 +341,19 @@
   }
 
   private double transferMillis(
-      PlacementRequest request, UpstreamState reader, UpstreamState target) {
-    boolean isNear = reader.availabilityZone().equals(target.availabilityZone());
-    return linkQueueMillis(reader, target)
+      PlacementRequest request, UpstreamState prefillUpstream, UpstreamState target) {
+    boolean isSameZone = prefillUpstream.availabilityZone().equals(target.availabilityZone());
+    return linkQueueMillis(prefillUpstream, target)
         + transferBytes(request) / estimates.linkBytesPerMilli()
-        + (isNear ? 0 : settings.otherZoneMillis());
+        + (isSameZone ? 0 : settings.otherZoneMillis());
   }
 
-  private double linkQueueMillis(UpstreamState reader, UpstreamState target) {
-    return Math.max(reader.linkBytes(), target.linkBytes()) / estimates.linkBytesPerMilli();
+  private double linkQueueMillis(UpstreamState prefillUpstream, UpstreamState target) {
+    return Math.max(prefillUpstream.linkBytes(), target.linkBytes()) / estimates.linkBytesPerMilli();
   }
 
-  private double largestLinkQueueMillis() {
-    return settings.kvLifetimeMillis() * LARGEST_LINK_SHARE;
+  private double maximumLinkQueueMillis() {
+    return settings.kvLifetimeMillis() * MAXIMUM_LINK_SHARE;
   }
 
   private boolean isCandidate(
@@ -384,11 +384,11 @@
    * that a report since the change shows to be free are granted.
    */
   private int freeSlotsOf(UpstreamState upstream, long nowMillis) {
-    boolean isKnown = nowMillis >= settledAt || upstream.hasReportedSince(takenOverAt);
-    return isKnown ? upstream.freeSlots(nowMillis) : 0;
+    boolean isLoadKnown = nowMillis >= settledAt || upstream.hasReportedSince(takenOverAt);
+    return isLoadKnown ? upstream.freeSlots(nowMillis) : 0;
   }
 
-  private static int unread(UpstreamState upstream, PlacementRequest request) {
+  private static int uncachedTokens(UpstreamState upstream, PlacementRequest request) {
     int cached = upstream.prefixes().match(request.prefixHashes()) * BLOCK_TOKENS;
     return Math.max(1, request.promptTokens() - cached);
   }
