--- a/core/src/main/java/org/marjoramsail/core/placement/EjectionState.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/EjectionState.java
@@ -11,20 +11,20 @@
    * An upstream that is back after an outage of some seconds is not left out for a minute. One that
    * is still away costs one request at each return, since it starts slowly.
    */
-  private static final int LARGEST_DOUBLING = 2;
+  private static final int MAXIMUM_DOUBLINGS = 2;
 
-  private static final double FIRST_SHARE = 0.1;
+  private static final double INITIAL_SHARE = 0.1;
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   private final PlacementSettings settings;
-  private int consecutive;
-  private int results;
-  private int failures;
-  private int ejections;
+  private int consecutiveFailures;
+  private int windowResults;
+  private int windowFailures;
+  private int recentEjections;
   private long ejectedUntil = NEVER;
-  private long slowSince = NEVER;
+  private long slowStartAt = NEVER;
   private long succeededAt = NEVER;
-  private boolean unproven;
+  private boolean awaitingSuccess;
 
   EjectionState(PlacementSettings settings) {
     this.settings = settings;
@@ -35,70 +35,70 @@
   }
 
   /** Whether it was ejected and has not answered well since. */
-  boolean isUnproven() {
-    return unproven;
+  boolean isAwaitingSuccess() {
+    return awaitingSuccess;
   }
 
   /** Whether its last answer was a good one, and came after {@code sinceMillis}. */
   boolean isServingSince(long sinceMillis) {
-    return consecutive == 0 && succeededAt >= sinceMillis;
+    return consecutiveFailures == 0 && succeededAt >= sinceMillis;
   }
 
   /** Whether it fails every time, not only often. */
-  boolean isFailingAlways() {
-    return consecutive >= CONSECUTIVE_FAILURES;
+  boolean isAlwaysFailing() {
+    return consecutiveFailures >= CONSECUTIVE_FAILURES;
   }
 
   void succeeded(long nowMillis) {
-    consecutive = 0;
+    consecutiveFailures = 0;
     succeededAt = nowMillis;
-    unproven = false;
+    awaitingSuccess = false;
     count(0);
-    if (results == 0 && failures == 0) {
-      ejections = Math.max(0, ejections - 1);
+    if (windowResults == 0 && windowFailures == 0) {
+      recentEjections = Math.max(0, recentEjections - 1);
     }
   }
 
   /** Counts a failure; true when the upstream should be ejected now. */
   boolean failed() {
-    consecutive++;
+    consecutiveFailures++;
     count(1);
-    boolean isOften = results >= WINDOW_RESULTS / 2 && failures >= results * FAILURE_RATIO;
-    return consecutive >= CONSECUTIVE_FAILURES || isOften;
+    boolean isOften = windowResults >= WINDOW_RESULTS / 2 && windowFailures >= windowResults * FAILURE_RATIO;
+    return consecutiveFailures >= CONSECUTIVE_FAILURES || isOften;
   }
 
   /** Ejects the upstream for twice as long as the last time; then it starts slowly. */
   void eject(long nowMillis) {
-    long outMillis = settings.ejectionMillis() << Math.min(ejections, LARGEST_DOUBLING);
-    ejections++;
-    unproven = true;
+    long outMillis = settings.ejectionMillis() << Math.min(recentEjections, MAXIMUM_DOUBLINGS);
+    recentEjections++;
+    awaitingSuccess = true;
     ejectedUntil = nowMillis + outMillis;
-    consecutive = 0;
-    results = 0;
-    failures = 0;
+    consecutiveFailures = 0;
+    windowResults = 0;
+    windowFailures = 0;
     startSlowly(ejectedUntil);
   }
 
   void startSlowly(long fromMillis) {
-    slowSince = Math.max(slowSince, fromMillis);
+    slowStartAt = Math.max(slowStartAt, fromMillis);
   }
 
   /** The share of its slots that it gets, from a tenth to one. */
   double share(long nowMillis) {
-    long sinceMillis = nowMillis - slowSince;
+    long sinceMillis = nowMillis - slowStartAt;
     if (sinceMillis >= settings.slowStartMillis()) {
       return 1;
     }
-    double grown = Math.max(0, sinceMillis) / (double) settings.slowStartMillis();
-    return FIRST_SHARE + (1 - FIRST_SHARE) * grown;
+    double elapsedShare = Math.max(0, sinceMillis) / (double) settings.slowStartMillis();
+    return INITIAL_SHARE + (1 - INITIAL_SHARE) * elapsedShare;
   }
 
   private void count(int failed) {
-    results++;
-    failures += failed;
-    if (results >= WINDOW_RESULTS) {
-      results = 0;
-      failures = 0;
+    windowResults++;
+    windowFailures += failed;
+    if (windowResults >= WINDOW_RESULTS) {
+      windowResults = 0;
+      windowFailures = 0;
     }
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/PlainOccupancy.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlainOccupancy.java
@@ -12,27 +12,27 @@
 final class PlainOccupancy {
 
   /** Upstreams queue some requests more than they work on; beyond that a guess gone wrong hurts. */
-  private static final double LARGEST_FACTOR = 2;
+  private static final double MAXIMUM_FACTOR = 2;
 
-  private final MovingAverage heldMillis = new MovingAverage(1);
-  private final MovingAverage answerMillis = new MovingAverage(1);
+  private final MovingAverage averageSlotMillis = new MovingAverage(1);
+  private final MovingAverage averageWorkMillis = new MovingAverage(1);
 
   /**
    * Learns from one answer.
    *
-   * @param held from its grant to the report of its end
-   * @param answering from its send to its answer; not positive where that is not known
+   * @param slotMillis from its grant to the report of its end
+   * @param workMillis from its send to its answer; not positive where that is not known
    */
-  void learn(long held, long answering) {
-    if (answering > 0 && held >= answering) {
-      heldMillis.observe((double) held);
-      answerMillis.observe((double) answering);
+  void learn(long slotMillis, long workMillis) {
+    if (workMillis > 0 && slotMillis >= workMillis) {
+      averageSlotMillis.observe((double) slotMillis);
+      averageWorkMillis.observe((double) workMillis);
     }
   }
 
   /** How many requests may be granted for each that an upstream can work on; one or more. */
   double factor() {
-    double factor = heldMillis.value() / answerMillis.value();
-    return Math.max(1, Math.min(LARGEST_FACTOR, factor));
+    double factor = averageSlotMillis.value() / averageWorkMillis.value();
+    return Math.max(1, Math.min(MAXIMUM_FACTOR, factor));
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardUpstreams.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardUpstreams.java
@@ -137,12 +137,12 @@
     for (UpstreamState other : all) {
       if (other.role() == upstream.role() && other.isConfigured() && other != upstream) {
         pool++;
-        out += other.isUsable(nowMillis) && !other.ejection().isUnproven() ? 0 : 1;
+        out += other.isUsable(nowMillis) && !other.ejection().isAwaitingSuccess() ? 0 : 1;
         isAnotherServing |= other.isServingSince(nowMillis - SERVING_MILLIS, nowMillis);
       }
     }
     boolean isFewOut = (out + 1) * EJECTED_DIVISOR <= pool + 1;
-    if (isFewOut || (isAnotherServing && upstream.ejection().isFailingAlways())) {
+    if (isFewOut || (isAnotherServing && upstream.ejection().isAlwaysFailing())) {
       upstream.ejection().eject(nowMillis);
     }
   }
