--- a/core/src/test/java/org/marjoramsail/core/placement/StatedLeavingTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/AnnouncedLeavingTest.java
@@ -24,83 +24,83 @@
  * "list of upstreams cannot be read" half a second before, and none wrote of the upstream until the
  * list could be read again, 13 seconds later.
  */
-class StatedLeavingTest {
+class AnnouncedLeavingTest {
 
-  private static final long LEAVES_AT_MILLIS = 4_000;
-  private static final long LENGTH_MILLIS = 14_000;
+  private static final long LEAVING_FROM_MILLIS = 4_000;
+  private static final long DURATION_MILLIS = 14_000;
 
   /** How long after its word an upstream may still get work of a host that passed it on. */
   private static final long DRAIN_MILLIS = 2_000;
 
-  private static final UpstreamFeedback LEAVES =
+  private static final UpstreamFeedback LEAVING =
       new UpstreamFeedback(Optional.empty(), true, Optional.empty(), 0);
 
   @ParameterizedTest
   @CsvSource({"7, 3, 1, 1", "7, 3, 2, 2", "77, 12, 3, 1", "390, 40, 8, 1"})
-  void anUpstreamThatSaysThatItLeavesGetsNoNewWork(
+  void anUpstreamThatAnnouncesLeavingGetsNoNewWork(
       int hosts, int upstreams, int leaving, long seed) {
     HostsBeforeUpstreams fleet = fleet(hosts, upstreams, leaving, seed);
 
-    fleet.run(LENGTH_MILLIS);
+    fleet.run(DURATION_MILLIS);
 
     assertThat(lateArrivals(fleet)).isEmpty();
   }
 
   /** Owners die one after the other; none of them was told what the ones before it were. */
   @Property(seed = "20261203", tries = 12)
-  void itGetsNoneWhateverOwnersDie(@ForAll @LongRange(min = 1) long seed) {
+  void itGetsNoNewWorkWhenOwnersFail(@ForAll @LongRange(min = 1) long seed) {
     HostsBeforeUpstreams fleet = fleet(7, 3, 1, seed);
     Random random = new Random(seed);
-    for (long at = LEAVES_AT_MILLIS; at < LENGTH_MILLIS; at += 300 + random.nextInt(2_000)) {
-      int dead = random.nextInt(3);
-      fleet.events().at(at, () -> fleet.kill(dead));
+    for (long at = LEAVING_FROM_MILLIS; at < DURATION_MILLIS; at += 300 + random.nextInt(2_000)) {
+      int failed = random.nextInt(3);
+      fleet.events().at(at, () -> fleet.kill(failed));
     }
 
-    fleet.run(LENGTH_MILLIS);
+    fleet.run(DURATION_MILLIS);
 
     assertThat(lateArrivals(fleet)).isEmpty();
   }
 
   /** Hosts cannot reach each other; each keeps to what it was told itself. */
   @Test
-  void itGetsNoneFromHostsThatAreAlone() {
+  void itGetsNoNewWorkFromIsolatedHosts() {
     HostsBeforeUpstreams fleet = fleet(3, 3, 1, 1);
     fleet.putOnSide(1, 1);
     fleet.putOnSide(2, 2);
 
-    fleet.run(LENGTH_MILLIS);
+    fleet.run(DURATION_MILLIS);
 
     assertThat(lateArrivals(fleet)).isEmpty();
   }
 
   /** One that was seen to leave and then says nothing of it any more is ending all the same. */
   @Test
-  void itGetsNoneWhenItsAnswersNoLongerSaySo() {
+  void itGetsNoNewWorkAfterItsResponsesStopAnnouncingIt() {
     HostsBeforeUpstreams fleet = new HostsBeforeUpstreams(7, 3, 6, 86, 1, Way.AT_THE_OWNER);
     UpstreamName first = fleet.upstreams().get(0);
     fleet.saying(
         name ->
             name.equals(first) && fleet.events().now() > 4_000 && fleet.events().now() < 4_200
-                ? LEAVES
+                ? LEAVING
                 : UpstreamFeedback.NOTHING);
-    fleet.load(30, 0, LENGTH_MILLIS);
+    fleet.load(30, 0, DURATION_MILLIS);
 
-    fleet.run(LENGTH_MILLIS);
+    fleet.run(DURATION_MILLIS);
 
     assertThat(lateArrivals(fleet)).isEmpty();
   }
 
   /** With all of a service leaving a caller is told at once, and when to come back. */
   @Test
-  void requestsThatNoUpstreamTakesAnyMoreAreRefusedAtOnce() {
+  void requestsAreRefusedImmediatelyWhenAllUpstreamsLeave() {
     HostsBeforeUpstreams fleet = fleet(7, 3, 3, 1);
 
-    fleet.run(LENGTH_MILLIS);
+    fleet.run(DURATION_MILLIS);
 
     assertThat(lateArrivals(fleet)).isEmpty();
     List<End> refused =
         fleet.ends().stream()
-            .filter(end -> !end.served() && end.askedAtMillis() > LEAVES_AT_MILLIS + 1_000)
+            .filter(end -> !end.served() && end.askedAtMillis() > LEAVING_FROM_MILLIS + 1_000)
             .toList();
     assertThat(refused).hasSizeGreaterThan(100);
     assertThat(refused).allMatch(end -> end.endedAtMillis() - end.askedAtMillis() <= 50);
@@ -112,10 +112,10 @@
         new HostsBeforeUpstreams(hosts, upstreams, 6, 86, seed, Way.AT_THE_OWNER);
     fleet.saying(
         name ->
-            fleet.events().now() >= LEAVES_AT_MILLIS && fleet.upstreams().indexOf(name) < leaving
-                ? LEAVES
+            fleet.events().now() >= LEAVING_FROM_MILLIS && fleet.upstreams().indexOf(name) < leaving
+                ? LEAVING
                 : UpstreamFeedback.NOTHING);
-    fleet.load(10.0 * upstreams, 0, LENGTH_MILLIS);
+    fleet.load(10.0 * upstreams, 0, DURATION_MILLIS);
     return fleet;
   }
 
@@ -126,7 +126,7 @@
             arrival ->
                 fleet
                     .toldAt(arrival.upstream(), arrival.host())
-                    .filter(toldAt -> arrival.atMillis() > toldAt + DRAIN_MILLIS)
+                    .filter(receivedAt -> arrival.atMillis() > receivedAt + DRAIN_MILLIS)
                     .isPresent())
         .toList();
   }
--- a/core/src/test/java/org/marjoramsail/core/placement/MixedPrefillTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/LocalPrefillUnderLoadTest.java
@@ -23,9 +23,9 @@
  * guessed to read half as fast as they do, so that no pause allowed it, and never read one by which
  * the guess could have been mended.
  */
-class MixedPrefillTest {
+class LocalPrefillUnderLoadTest {
 
-  private static final int READERS = 4;
+  private static final int PREFILL_UPSTREAMS = 4;
   private static final int PROMPT_TOKENS = 5_200;
   private static final double TOKENS_PER_MILLI = 55;
   private static final double FIXED_MILLIS = 30;
@@ -35,33 +35,33 @@
   private static final double OFFERED_SHARE = 1.3;
 
   /** What a busy host takes to send on what it was told, in milliseconds. */
-  private static final int LATEST_REPORT_MILLIS = 120;
+  private static final int MAXIMUM_REPORT_DELAY_MILLIS = 120;
 
   private static final long TICK_MILLIS = 5;
-  private static final long LENGTH_MILLIS = 20_000;
-  private static final long LEARNING_MILLIS = 8_000;
+  private static final long DURATION_MILLIS = 20_000;
+  private static final long WARM_UP_MILLIS = 8_000;
   private static final long TARGET_MILLIS = 900;
 
-  private final ReservingPlacer placer = shortLivedPlacer(poolWithMemory(READERS, 8, 16, 42_000));
+  private final ReservingPlacer placer = shortLivedPlacer(poolWithMemory(PREFILL_UPSTREAMS, 8, 16, 42_000));
   private final VirtualEvents events = new VirtualEvents();
-  private final Map<String, Double> readerFreeAt = new HashMap<>();
+  private final Map<String, Double> freeAt = new HashMap<>();
   private final Map<RequestId, Long> arrivedAt = new HashMap<>();
   private final List<Long> waits = new ArrayList<>();
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void decodeUpstreamsReadWhatPrefillUpstreamsHaveNoTimeFor(long seed) {
+  void decodeUpstreamsPrefillPromptsWhilePrefillUpstreamsAreBusy(long seed) {
     Random random = new Random(seed);
-    double readMillis = FIXED_MILLIS + PROMPT_TOKENS / TOKENS_PER_MILLI;
-    double betweenMillis = readMillis / READERS / OFFERED_SHARE;
+    double prefillMillis = FIXED_MILLIS + PROMPT_TOKENS / TOKENS_PER_MILLI;
+    double betweenMillis = prefillMillis / PREFILL_UPSTREAMS / OFFERED_SHARE;
     double next = 0;
     int number = 0;
-    while (next < LENGTH_MILLIS) {
+    while (next < DURATION_MILLIS) {
       String name = "r" + number++;
       events.at((long) next, () -> arrive(name));
       next += betweenMillis * (0.5 + random.nextDouble());
     }
-    events.every(TICK_MILLIS, LENGTH_MILLIS, () -> handle(placer.tick(events.now()), random));
+    events.every(TICK_MILLIS, DURATION_MILLIS, () -> handle(placer.tick(events.now()), random));
     events.run();
 
     long late = waits.stream().filter(wait -> wait > TARGET_MILLIS / 2).count();
@@ -87,32 +87,32 @@
     for (PlacementResult result : results) {
       if (result instanceof PlacementResult.Granted granted) {
         granted(granted.grant(), random);
-      } else if (events.now() > LEARNING_MILLIS) {
+      } else if (events.now() > WARM_UP_MILLIS) {
         waits.add(TARGET_MILLIS);
       }
     }
   }
 
   private void granted(Grant grant, Random random) {
-    if (events.now() > LEARNING_MILLIS) {
+    if (events.now() > WARM_UP_MILLIS) {
       waits.add(events.now() - arrivedAt.get(grant.request()));
     }
-    String reader = grant.prefill().orElse(grant.target()).value();
-    boolean isBeside = grant.prefill().isEmpty();
-    double readMillis = FIXED_MILLIS + PROMPT_TOKENS / TOKENS_PER_MILLI * (isBeside ? 2 : 1);
-    double readAt =
-        Math.max((double) events.now(), readerFreeAt.getOrDefault(reader, 0.0)) + readMillis;
-    readerFreeAt.put(reader, readAt);
+    String upstream = grant.prefill().orElse(grant.target()).value();
+    boolean isLocal = grant.prefill().isEmpty();
+    double prefillMillis = FIXED_MILLIS + PROMPT_TOKENS / TOKENS_PER_MILLI * (isLocal ? 2 : 1);
+    double prefilledAt =
+        Math.max((double) events.now(), freeAt.getOrDefault(upstream, 0.0)) + prefillMillis;
+    freeAt.put(upstream, prefilledAt);
     long sentAt = events.now();
-    long toldAt = (long) readAt + random.nextInt(LATEST_REPORT_MILLIS);
-    if (!isBeside) {
-      events.at(toldAt, () -> tell(grant, AttemptPhase.PREFILLED, toldAt - sentAt, random));
+    long reportedAt = (long) prefilledAt + random.nextInt(MAXIMUM_REPORT_DELAY_MILLIS);
+    if (!isLocal) {
+      events.at(reportedAt, () -> report(grant, AttemptPhase.PREFILLED, reportedAt - sentAt, random));
     }
-    events.at(toldAt + 40, () -> tell(grant, AttemptPhase.GENERATING, 0, random));
-    events.at(toldAt + 40 + GENERATING_MILLIS, () -> tell(grant, AttemptPhase.ENDED, 0, random));
+    events.at(reportedAt + 40, () -> report(grant, AttemptPhase.GENERATING, 0, random));
+    events.at(reportedAt + 40 + GENERATING_MILLIS, () -> report(grant, AttemptPhase.ENDED, 0, random));
   }
 
-  private void tell(Grant grant, AttemptPhase phase, long tookMillis, Random random) {
+  private void report(Grant grant, AttemptPhase phase, long tookMillis, Random random) {
     Optional<AttemptResult> result =
         phase == AttemptPhase.ENDED ? Optional.of(AttemptResult.COMPLETED) : Optional.empty();
     handle(
--- a/core/src/test/java/org/marjoramsail/core/placement/MemoryForecastTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/MemoryForecastTest.java
@@ -17,19 +17,19 @@
   private final MemoryForecast forecast = new MemoryForecast(OutputLengthDistribution.exact());
 
   @Test
-  void oneRequestNeedsItsPromptAndItsWholeAnswer() {
+  void oneRequestNeedsItsPromptAndItsWholeOutput() {
     assertThat(forecast.peakTokensWith(3_000, 800, 0, MILLIS_PER_TOKEN)).isEqualTo(3_800);
   }
 
   @Test
-  void requestsThatGrowTogetherNeedAllTheirLengths() {
+  void requestsThatGrowConcurrentlyNeedTheSumOfTheirLengths() {
     add("a", 0);
 
     assertThat(forecast.peakTokensWith(3_000, 800, 0, MILLIS_PER_TOKEN)).isEqualTo(7_600);
   }
 
   @Test
-  void aRequestThatEndsSoonMakesRoomForTheGrowthOfTheNext() {
+  void aRequestThatEndsSoonFreesMemoryForTheNext() {
     add("a", 0);
 
     // It has 100 tokens left, so the new one holds 3,100 when it ends and 3,800 in the end.
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void aRequestThatOutgrowsItsExpectationIsExpectedToGrowOn() {
+  void aRequestLongerThanPredictedIsExpectedToGrowFurther() {
     add("a", 0);
 
     double peak = forecast.peakTokensWith(0, 1, 2_000 * 5, MILLIS_PER_TOKEN);
@@ -48,14 +48,14 @@
   }
 
   @Test
-  void aRequestThatHasNotBegunDoesNotGrow() {
+  void aRequestThatIsNotGeneratingDoesNotGrow() {
     forecast.add(new RequestId("a"), 3_000, 800);
 
     assertThat(forecast.peakTokensWith(0, 1, 1_000_000, MILLIS_PER_TOKEN)).isLessThan(3_802);
   }
 
   @Test
-  void whatHasEndedHoldsNothing() {
+  void anEndedRequestNeedsNoMemory() {
     add("a", 0);
     forecast.remove(new RequestId("a"));
 
--- a/core/src/test/java/org/marjoramsail/core/placement/MovingAverageTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/MovingAverageTest.java
@@ -13,7 +13,7 @@
    * lookups for waits that did not exist.
    */
   @Test
-  void aGuessThatIsTenTimesTooLongIsOutvotedByTenSamples() {
+  void anInitialValueThatIsTenTimesTooLargeIsOutweighedByTwelveSamples() {
     MovingAverage average = new MovingAverage(1_000);
 
     for (int sample = 0; sample < 12; sample++) {
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void oneOutlierMovesAnOldAverageByABoundedPart() {
+  void oneOutlierMovesTheAverageByABoundedAmount() {
     MovingAverage average = new MovingAverage(100);
     for (int sample = 0; sample < 50; sample++) {
       average.observe(100);
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void nonsenseIsIgnored() {
+  void invalidSamplesAreIgnored() {
     MovingAverage average = new MovingAverage(100);
 
     average.observe(0);
--- a/core/src/test/java/org/marjoramsail/core/placement/PauseShareTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PauseShareTest.java
@@ -21,14 +21,14 @@
       request("r").pieces(new Pieces(10, PAUSE_MILLIS)).build();
 
   @Test
-  void anEngineThatReadsInSmallPartsMayReadLongPrompts() {
+  void anEngineThatPrefillsInSmallChunksMayPrefillLongPrompts() {
     learn(0.25);
 
     assertThat(estimates.localPrefillMillisWithinPause(request)).isGreaterThan(600);
   }
 
   @Test
-  void anEngineThatReadsAllAtOnceMayNotReadLongerThanThePause() {
+  void anEngineThatPrefillsAtOnceMayNotPrefillForLongerThanThePause() {
     learn(1);
 
     assertThat(estimates.localPrefillMillisWithinPause(request)).isBetween(180.0, 230.0);
@@ -36,7 +36,7 @@
 
   /** A stream was preempted for a second; that says nothing about reading. */
   @Test
-  void aPauseThatTheReadingDoesNotExplainIsNotLearnedFrom() {
+  void aPauseThatThePrefillDoesNotExplainIsIgnored() {
     learn(1);
     double before = estimates.localPrefillMillisWithinPause(request);
 
@@ -47,7 +47,7 @@
   }
 
   private void learn(double share) {
-    for (int answer = 0; answer < 40; answer++) {
+    for (int response = 0; response < 40; response++) {
       double pause = estimates.chunkMillis(request) + share * 200;
       estimates.learnPause(request, Math.round(pause), 200);
     }
--- a/core/src/test/java/org/marjoramsail/core/placement/PlainOccupancyTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PlainOccupancyTest.java
@@ -30,8 +30,8 @@
   private static final long TARGET_MILLIS = 250;
   private static final long DEADLINE_MILLIS = 2_500;
   private static final long TICK_MILLIS = 5;
-  private static final long LENGTH_MILLIS = 12_000;
-  private static final long LEARNING_MILLIS = 2_000;
+  private static final long DURATION_MILLIS = 12_000;
+  private static final long WARM_UP_MILLIS = 2_000;
 
   private final ReservingPlacer placer =
       new ReservingPlacer(
@@ -48,31 +48,31 @@
   private final Map<String, Integer> working = new HashMap<>();
   private final Map<RequestId, Long> arrivedAt = new HashMap<>();
   private Random random = new Random(0);
-  private int asked;
-  private int inTime;
+  private int requested;
+  private int withinTarget;
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void slowEntryHostsTakeNoCapacityFromAService(long seed) {
+  void slowEntryHostsDoNotReduceTheCapacityOfAService(long seed) {
     random = new Random(seed);
     double next = 0;
     int number = 0;
-    while (next < LENGTH_MILLIS) {
+    while (next < DURATION_MILLIS) {
       RequestId id = new RequestId("r" + number++);
       events.at((long) next, () -> arrive(id));
       next += -Math.log(1 - random.nextDouble()) * WORK_MILLIS / (SERVERS * SLOTS) / 0.75;
     }
-    events.every(TICK_MILLIS, LENGTH_MILLIS, () -> handle(placer.tick(events.now())));
+    events.every(TICK_MILLIS, DURATION_MILLIS, () -> handle(placer.tick(events.now())));
     events.run();
 
-    assertThat((double) inTime / asked).isGreaterThan(0.9);
+    assertThat((double) withinTarget / requested).isGreaterThan(0.9);
   }
 
   /** A service whose answers are told at once gets no more than its slots. */
   @Test
-  void withoutDelaysNothingIsGrantedBeyondTheSlots() {
+  void withoutDelaysNoMoreThanTheSlotsAreGranted() {
     PlainOccupancy occupancy = new PlainOccupancy();
-    for (int answer = 0; answer < 50; answer++) {
+    for (int response = 0; response < 50; response++) {
       occupancy.learn(44, 43);
     }
 
@@ -81,7 +81,7 @@
 
   private void arrive(RequestId id) {
     arrivedAt.put(id, events.now());
-    asked += events.now() > LEARNING_MILLIS ? 1 : 0;
+    requested += events.now() > WARM_UP_MILLIS ? 1 : 0;
     handle(placer.place(timelyPlain(id, TARGET_MILLIS * 7 / 10, DEADLINE_MILLIS, 0), events.now()));
   }
 
@@ -100,7 +100,7 @@
         () ->
             events.at(
                 events.now() + (long) (WORK_MILLIS * (0.5 + random.nextDouble())),
-                () -> answered(grant, sentAt));
+                () -> responded(grant, sentAt));
     if (working.merge(server, 1, Integer::sum) <= SLOTS) {
       work.run();
     } else {
@@ -108,17 +108,17 @@
     }
   }
 
-  private void answered(Grant grant, long sentAt) {
+  private void responded(Grant grant, long sentAt) {
     String server = grant.target().value();
     working.merge(server, -1, Integer::sum);
     Optional.ofNullable(queued.get(server)).map(Deque::poll).ifPresent(Runnable::run);
-    boolean isInTime = events.now() - arrivedAt.get(grant.request()) <= TARGET_MILLIS;
-    inTime += isInTime && arrivedAt.get(grant.request()) > LEARNING_MILLIS ? 1 : 0;
-    long answerMillis = events.now() - sentAt;
-    events.at(events.now() + random.nextInt(SLOWEST_HOST_MILLIS), () -> ended(grant, answerMillis));
+    boolean isWithinTarget = events.now() - arrivedAt.get(grant.request()) <= TARGET_MILLIS;
+    withinTarget += isWithinTarget && arrivedAt.get(grant.request()) > WARM_UP_MILLIS ? 1 : 0;
+    long responseMillis = events.now() - sentAt;
+    events.at(events.now() + random.nextInt(SLOWEST_HOST_MILLIS), () -> ended(grant, responseMillis));
   }
 
-  private void ended(Grant grant, long answerMillis) {
+  private void ended(Grant grant, long responseMillis) {
     handle(
         placer.report(
             new AttemptReport(
@@ -128,7 +128,7 @@
                 Optional.of(AttemptResult.COMPLETED),
                 Optional.empty(),
                 0,
-                answerMillis,
+                responseMillis,
                 0),
             events.now()));
   }
--- a/core/src/test/java/org/marjoramsail/core/placement/PrefixHasherTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PrefixHasherTest.java
@@ -15,7 +15,7 @@
   }
 
   @Test
-  void promptsThatShareTheirFirstBlocksShareJustThoseHashes() {
+  void promptsWithACommonPrefixShareOnlyTheHashesOfItsBlocks() {
     String shared = words("año", 32);
     var first = PrefixHasher.hashes(shared + " " + words("a", 16));
     var second = PrefixHasher.hashes(shared + " " + words("b", 16));
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void theSameBlockAfterAnotherPrefixHasAnotherHash() {
+  void theSameBlockAfterADifferentPrefixHasADifferentHash() {
     String block = words("x", 16);
     var hashes = PrefixHasher.hashes(block + " " + block);
 
@@ -34,19 +34,19 @@
   }
 
   @Test
-  void aBlockThatIsNotFullHasNoHash() {
+  void anIncompleteBlockHasNoHash() {
     assertThat(PrefixHasher.hashes(words("x", 31))).hasSize(1);
     assertThat(PrefixHasher.hashes("")).isEmpty();
     assertThat(PrefixHasher.hashes("  ")).isEmpty();
   }
 
   @Test
-  void whiteSpaceBetweenTokensMakesNoDifference() {
+  void theAmountOfWhiteSpaceBetweenTokensDoesNotMatter() {
     String plain = words("x", 16);
-    String spread = "  " + plain.replace(" ", " \n ") + " ";
+    String spaced = "  " + plain.replace(" ", " \n ") + " ";
 
-    assertThat(PrefixHasher.hashes(spread)).isEqualTo(PrefixHasher.hashes(plain));
-    assertThat(PrefixHasher.tokenCount(spread)).isEqualTo(16);
+    assertThat(PrefixHasher.hashes(spaced)).isEqualTo(PrefixHasher.hashes(plain));
+    assertThat(PrefixHasher.tokenCount(spaced)).isEqualTo(16);
   }
 
   @Test
--- a/core/src/test/java/org/marjoramsail/core/placement/AskedPauseTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/RequestedPauseTest.java
@@ -16,10 +16,10 @@
  * An upstream turned requests away and said to each host for how long it wants nothing of it. Hosts
  * left it alone for 60 ms and came again: a 503 was read as "full" whatever time it named.
  */
-class AskedPauseTest {
+class RequestedPauseTest {
 
-  private static final long FROM_MILLIS = 4_000;
-  private static final long LENGTH_MILLIS = 14_000;
+  private static final long PAUSING_FROM_MILLIS = 4_000;
+  private static final long DURATION_MILLIS = 14_000;
   private static final long PAUSE_MILLIS = 3_000;
 
   /** How long a host may take to act on what it was told. */
@@ -27,31 +27,31 @@
 
   private static final int ALLOWED_REQUESTS = 2;
 
-  private static final UpstreamFeedback TURNS_AWAY =
+  private static final UpstreamFeedback PAUSE_REQUESTED =
       new UpstreamFeedback(Optional.empty(), false, Optional.of(PAUSE_MILLIS), 0);
 
   @ParameterizedTest
   @CsvSource({"7, 3, 1, 1", "7, 3, 2, 2", "77, 12, 3, 1"})
-  void aHostLeavesAnUpstreamAloneForAsLongAsItAsksFor(
-      int hosts, int upstreams, int turning, long seed) {
-    HostsBeforeUpstreams fleet = fleet(hosts, upstreams, turning, seed);
+  void aHostSendsNothingDuringTheRequestedPause(
+      int hosts, int upstreams, int pausing, long seed) {
+    HostsBeforeUpstreams fleet = fleet(hosts, upstreams, pausing, seed);
 
-    fleet.run(LENGTH_MILLIS);
+    fleet.run(DURATION_MILLIS);
 
     assertPausesHold(fleet);
   }
 
   /** With a pause asked for everywhere a caller is told at once, and comes back after it. */
   @Test
-  void requestsThatFitNowhereAreRefusedAtOnceUntilAPauseEnds() {
+  void requestsAreRefusedImmediatelyWhileAllUpstreamsPause() {
     HostsBeforeUpstreams fleet = fleet(2, 3, 3, 1);
 
-    fleet.run(LENGTH_MILLIS);
+    fleet.run(DURATION_MILLIS);
 
     assertPausesHold(fleet);
     List<End> refused =
         fleet.ends().stream()
-            .filter(end -> !end.served() && end.askedAtMillis() > FROM_MILLIS + 1_000)
+            .filter(end -> !end.served() && end.askedAtMillis() > PAUSING_FROM_MILLIS + 1_000)
             .filter(end -> end.endedAtMillis() - end.askedAtMillis() <= 50)
             .toList();
     assertThat(refused).hasSizeGreaterThan(100);
@@ -59,27 +59,27 @@
     assertThat(refused).allMatch(end -> end.retryAfter().orElse(0L) <= PAUSE_MILLIS);
   }
 
-  private static HostsBeforeUpstreams fleet(int hosts, int upstreams, int turning, long seed) {
+  private static HostsBeforeUpstreams fleet(int hosts, int upstreams, int pausing, long seed) {
     HostsBeforeUpstreams fleet =
         new HostsBeforeUpstreams(hosts, upstreams, 6, 86, seed, Way.AT_THE_OWNER);
     fleet.saying(
         name ->
-            fleet.events().now() >= FROM_MILLIS && fleet.upstreams().indexOf(name) < turning
-                ? TURNS_AWAY
+            fleet.events().now() >= PAUSING_FROM_MILLIS && fleet.upstreams().indexOf(name) < pausing
+                ? PAUSE_REQUESTED
                 : UpstreamFeedback.NOTHING);
-    fleet.load(10.0 * upstreams, 0, LENGTH_MILLIS);
+    fleet.load(10.0 * upstreams, 0, DURATION_MILLIS);
     return fleet;
   }
 
   private static void assertPausesHold(HostsBeforeUpstreams fleet) {
     assertThat(fleet.pauses()).isNotEmpty();
-    for (Arrival asked : fleet.pauses()) {
+    for (Arrival requested : fleet.pauses()) {
       long since =
           fleet.arrivals().stream()
-              .filter(one -> one.upstream().equals(asked.upstream()))
-              .filter(one -> one.host().equals(asked.host()))
-              .filter(one -> one.atMillis() > asked.atMillis() + REACTION_MILLIS)
-              .filter(one -> one.atMillis() < asked.atMillis() + PAUSE_MILLIS)
+              .filter(one -> one.upstream().equals(requested.upstream()))
+              .filter(one -> one.host().equals(requested.host()))
+              .filter(one -> one.atMillis() > requested.atMillis() + REACTION_MILLIS)
+              .filter(one -> one.atMillis() < requested.atMillis() + PAUSE_MILLIS)
               .count();
       assertThat(since).isLessThanOrEqualTo(ALLOWED_REQUESTS);
     }
--- a/core/src/test/java/org/marjoramsail/core/placement/RestoredMemoryTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/RestoredMemoryTest.java
@@ -29,17 +29,17 @@
    * for as long as it lived, and nothing was let in beside it.
    */
   @Test
-  void aStreamThatGeneratesWhenItIsTakenOverEndsAsForetold() {
+  void aStreamThatGeneratesAtATakeoverFreesItsMemoryAsPredicted() {
     ReservingPlacer takenOver = placer(true);
-    takenOver.restore(old(), GRANT, AttemptPhase.GENERATING, 0);
-    ReservingPlacer watching = placer(false);
-    watching.place(old(), 0);
-    watching.report(PlacementFixtures.progress("old", 1, AttemptPhase.GENERATING), 0);
-    ReservingPlacer notBegun = placer(false);
-    notBegun.place(old(), 0);
+    takenOver.restore(existing(), GRANT, AttemptPhase.GENERATING, 0);
+    ReservingPlacer original = placer(false);
+    original.place(existing(), 0);
+    original.report(PlacementFixtures.progress("old", 1, AttemptPhase.GENERATING), 0);
+    ReservingPlacer notGenerating = placer(false);
+    notGenerating.place(existing(), 0);
 
-    assertThat(roomAfterTokens(takenOver)).isEqualTo(roomAfterTokens(watching)).isBetween(301, 999);
-    assertThat(roomAfterTokens(notBegun)).isEqualTo(NEVER);
+    assertThat(tokensUntilGrant(takenOver)).isEqualTo(tokensUntilGrant(original)).isBetween(301, 999);
+    assertThat(tokensUntilGrant(notGenerating)).isEqualTo(NEVER);
   }
 
   private static ReservingPlacer placer(boolean takenOver) {
@@ -51,12 +51,12 @@
         0);
   }
 
-  private static PlacementRequest old() {
+  private static PlacementRequest existing() {
     return request("old").tokens(3_000, 800).build();
   }
 
   /** After how many tokens of the stream the next request finds room; in steps of ten. */
-  private static int roomAfterTokens(ReservingPlacer placer) {
+  private static int tokensUntilGrant(ReservingPlacer placer) {
     placer.place(request("next").tokens(3_000, 800).build(), 1);
     for (int tokens = 10; tokens <= 2_000; tokens += 10) {
       if (granted(placer.tick(millisFor(tokens))).contains("next")) {
--- a/core/src/test/java/org/marjoramsail/core/placement/SampledPrefixHashesTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/SampledPrefixHashesTest.java
@@ -14,13 +14,13 @@
   }
 
   @Test
-  void marksAreThePowersOfTwoAndTheirMiddles() {
+  void blocksAreSampledAtPowersOfTwoAndTheirMidpoints() {
     assertThat(IntStream.range(0, 10).map(SampledPrefixHashes::blocks))
         .containsExactly(1, 2, 3, 4, 6, 8, 12, 16, 24, 32);
   }
 
   @Test
-  void aMarkIsTheHashOfItsBlock() {
+  void eachSampledHashIsTheHashOfItsBlock() {
     String prompt = words(7 * PrefixHasher.BLOCK_TOKENS);
     List<Long> hashes = PrefixHasher.hashes(prompt);
 
@@ -29,12 +29,12 @@
   }
 
   @Test
-  void aPromptOfManyThousandTokensHasFewMarks() {
+  void aLongPromptHasFewSampledHashes() {
     assertThat(SampledPrefixHashes.of(words(50_000))).hasSize(22);
   }
 
   @Test
-  void anIndexFedBlockByBlockTellsTheLastMarkOfASharedPrefix() {
+  void anIndexOfAllBlocksMatchesTheLastSampledHashOfACommonPrefix() {
     PrefixIndex index = new PrefixIndex();
     PrefixHasher.hashes(words(20 * PrefixHasher.BLOCK_TOKENS)).forEach(index::add);
 
@@ -43,12 +43,12 @@
   }
 
   @Test
-  void marksBeyondWhatAnEngineHadAreTakenOut() {
+  void hashesBeyondTheCachedPrefixAreRemoved() {
     PrefixIndex index = new PrefixIndex();
-    List<Long> marks = SampledPrefixHashes.of(words(100 * PrefixHasher.BLOCK_TOKENS));
-    index.addAll(marks);
-    index.removeBeyond(marks, 5);
+    List<Long> sampledHashes = SampledPrefixHashes.of(words(100 * PrefixHasher.BLOCK_TOKENS));
+    index.addAll(sampledHashes);
+    index.removeBeyond(sampledHashes, 5);
 
-    assertThat(index.match(marks)).isEqualTo(4);
+    assertThat(index.match(sampledHashes)).isEqualTo(4);
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/placement/SaturatedMemoryTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/SaturatedMemoryTest.java
@@ -28,16 +28,16 @@
   private static final class Stream {
     private final RequestId id;
     private final int prompt;
-    private final int answer;
-    private final int foretold;
+    private final int output;
+    private final int predicted;
     private int generated;
 
-    Stream(int number, Random random, int prompt, int answer, double deviation) {
+    Stream(int number, Random random, int prompt, int output, double deviation) {
       this.id = new RequestId("stream-" + number);
       this.prompt = around(random, prompt, deviation);
-      this.answer = around(random, answer, deviation);
-      double hint = this.answer * Math.exp(deviation * random.nextGaussian());
-      this.foretold = (int) Math.max(1, 0.4 * hint + 0.6 * answer);
+      this.output = around(random, output, deviation);
+      double hint = this.output * Math.exp(deviation * random.nextGaussian());
+      this.predicted = (int) Math.max(1, 0.4 * hint + 0.6 * output);
     }
 
     private static int around(Random random, int mean, double deviation) {
@@ -50,10 +50,10 @@
     }
   }
 
-  private record Outcome(double inTime, double preempted) {
+  private record Outcome(double completed, double preempted) {
     /** Streams that end in time for each slot of time, less what preempted ones cost. */
-    double worth() {
-      return inTime - PREEMPTION_COST * preempted;
+    double value() {
+      return completed - PREEMPTION_COST * preempted;
     }
   }
 
@@ -66,57 +66,57 @@
     "200000,64,1000,6000,0.8",
     "120000,32,4000,4000,0.2"
   })
-  void fewStreamsArePreemptedAndTheEngineStaysFull(
-      int memory, int slots, int prompt, int answer, double deviation) {
-    Outcome cautious = play(memory, slots, prompt, answer, deviation, true);
-    Outcome byMeans = play(memory, slots, prompt, answer, deviation, false);
+  void fewStreamsArePreemptedWhileTheEngineStaysFull(
+      int memory, int slots, int prompt, int output, double deviation) {
+    Outcome withSafetyMargin = simulate(memory, slots, prompt, output, deviation, true);
+    Outcome byMeans = simulate(memory, slots, prompt, output, deviation, false);
 
-    assertThat(cautious.preempted()).isLessThanOrEqualTo(byMeans.preempted());
-    assertThat(cautious.preempted() / cautious.inTime()).isLessThan(0.08);
-    assertThat(cautious.worth()).isGreaterThan(0.98 * byMeans.worth());
+    assertThat(withSafetyMargin.preempted()).isLessThanOrEqualTo(byMeans.preempted());
+    assertThat(withSafetyMargin.preempted() / withSafetyMargin.completed()).isLessThan(0.08);
+    assertThat(withSafetyMargin.value()).isGreaterThan(0.98 * byMeans.value());
   }
 
-  private static Outcome play(
-      int memory, int slots, int prompt, int answer, double deviation, boolean learning) {
+  private static Outcome simulate(
+      int memory, int slots, int prompt, int output, double deviation, boolean learning) {
     OutputLengthDistribution outputLengths =
         learning ? OutputLengthDistribution.initialEstimate() : OutputLengthDistribution.exact();
     Random random = new Random(17);
     MemoryForecast forecast = new MemoryForecast(outputLengths);
     List<Stream> running = new ArrayList<>();
-    int step = Math.max(1, answer / 70);
+    int step = Math.max(1, output / 70);
     int number = 0;
     int ended = 0;
     int preempted = 0;
     long now = 0;
-    Stream next = new Stream(number, random, prompt, answer, deviation);
+    Stream next = new Stream(number, random, prompt, output, deviation);
     while (ended < STREAMS) {
       while (running.size() < slots
           && (running.isEmpty()
-              || forecast.peakTokensWith(next.prompt, next.foretold, now, MILLIS_PER_TOKEN) <= memory)) {
-        forecast.add(next.id, next.prompt, next.foretold);
+              || forecast.peakTokensWith(next.prompt, next.predicted, now, MILLIS_PER_TOKEN) <= memory)) {
+        forecast.add(next.id, next.prompt, next.predicted);
         forecast.generationStarted(next.id, now);
         running.add(next);
-        next = new Stream(++number, random, prompt, answer, deviation);
+        next = new Stream(++number, random, prompt, output, deviation);
       }
       now += step;
-      for (Stream one : List.copyOf(running)) {
-        one.generated += step;
-        if (one.generated >= one.answer) {
-          running.remove(one);
-          forecast.remove(one.id);
+      for (Stream stream : List.copyOf(running)) {
+        stream.generated += step;
+        if (stream.generated >= stream.output) {
+          running.remove(stream);
+          forecast.remove(stream.id);
           if (learning) {
-            outputLengths.observe(one.answer, one.foretold);
+            outputLengths.observe(stream.output, stream.predicted);
           }
           ended++;
         }
       }
       while (running.size() > 1 && running.stream().mapToInt(Stream::held).sum() > memory) {
-        Stream newest = running.remove(running.size() - 1);
-        forecast.remove(newest.id);
+        Stream preemptedStream = running.remove(running.size() - 1);
+        forecast.remove(preemptedStream.id);
         preempted++;
       }
     }
-    double time = (double) now / answer;
+    double time = (double) now / output;
     System.out.println(
         memory
             + " "
--- a/core/src/test/java/org/marjoramsail/core/placement/SilentUpstreamTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/UnresponsiveUpstreamTest.java
@@ -16,7 +16,7 @@
  * Two engines lost their power and closed no connection. Summaries that may run only once were sent
  * to them for seconds, until each of their slots held one, and all of these were lost.
  */
-class SilentUpstreamTest {
+class UnresponsiveUpstreamTest {
 
   private static final int MEMORY_TOKENS = 200_000;
 
@@ -24,18 +24,18 @@
   private int requests;
 
   @Test
-  void anEngineThatOwesAFirstPieceGetsNoOtherRequestWhileAnotherServes() {
-    Grant lost = read(0);
-    String silent = lost.target().value();
+  void anEngineWhoseFirstOutputIsOverdueGetsNoRequestWhileAnotherResponds() {
+    Grant lost = placePrefilled(0);
+    String unresponsive = lost.target().value();
 
     Set<String> targets = targetsOf(10, 1_000);
 
-    assertThat(targets).doesNotContain(silent).hasSize(1);
+    assertThat(targets).doesNotContain(unresponsive).hasSize(1);
   }
 
   @Test
-  void itIsUsedAgainOnceThePieceComes() {
-    Grant late = read(0);
+  void itIsUsedAgainOnceTheFirstOutputArrives() {
+    Grant late = placePrefilled(0);
     targetsOf(10, 1_000);
     placer.report(progress(late.request().value(), 1, AttemptPhase.GENERATING), 1_100);
 
@@ -44,12 +44,12 @@
 
   /** In a burst a request waited for memory on an engine that ended others all the while. */
   @Test
-  void anEngineThatGivesSignsOfOtherRequestsIsNotSilent() {
-    Grant waiting = read(0);
+  void anEngineThatMakesProgressOnOtherRequestsIsNotUnresponsive() {
+    Grant waiting = placePrefilled(0);
     String full = waiting.target().value();
-    Grant other = read(1);
+    Grant other = placePrefilled(1);
     while (!other.target().value().equals(full)) {
-      other = read(1);
+      other = placePrefilled(1);
     }
     placer.report(progress(other.request().value(), 1, AttemptPhase.GENERATING), 900);
 
@@ -58,41 +58,41 @@
 
   /** A daemon was cut off; what it would have told of its requests says nothing of the engines. */
   @Test
-  void aDaemonThatIsNotHeardOfSaysNothingAboutEngines() {
-    Grant cut = read("cut", 0, PlacementFixtures.OTHER_ENTRY);
+  void requestsOfADaemonThatSendsNoMessagesDoNotCount() {
+    Grant disconnected = placePrefilled("cut", 0, PlacementFixtures.OTHER_ENTRY);
 
-    assertThat(targetsOf(10, 1_000)).contains(cut.target().value());
+    assertThat(targetsOf(10, 1_000)).contains(disconnected.target().value());
   }
 
   @Test
-  void whereAllOweASignAllAreUsed() {
-    Set<String> owing = new HashSet<>();
+  void allEnginesAreUsedWhenAllAreOverdue() {
+    Set<String> overdue = new HashSet<>();
     for (int count = 0; count < 8; count++) {
-      owing.add(read(0).target().value());
+      overdue.add(placePrefilled(0).target().value());
     }
-    assertThat(owing).hasSize(2);
+    assertThat(overdue).hasSize(2);
 
     Grant next = onlyGrant(placer.place(request("next").tokens(1_000, 100).build(), 1_000));
 
-    assertThat(owing).contains(next.target().value());
+    assertThat(overdue).contains(next.target().value());
   }
 
   private Set<String> targetsOf(int count, long nowMillis) {
     Set<String> targets = new HashSet<>();
     for (int number = 0; number < count; number++) {
-      Grant grant = read(nowMillis);
+      Grant grant = placePrefilled(nowMillis);
       placer.report(progress(grant.request().value(), 1, AttemptPhase.GENERATING), nowMillis);
       targets.add(grant.target().value());
     }
     return targets;
   }
 
-  private Grant read(long nowMillis) {
-    return read("r" + requests++, nowMillis, PlacementFixtures.ENTRY);
+  private Grant placePrefilled(long nowMillis) {
+    return placePrefilled("r" + requests++, nowMillis, PlacementFixtures.ENTRY);
   }
 
   /** Places a request whose prompt is read at once. */
-  private Grant read(String name, long nowMillis, DaemonId entry) {
+  private Grant placePrefilled(String name, long nowMillis, DaemonId entry) {
     Grant grant =
         onlyGrant(placer.place(request(name).entry(entry).tokens(1_000, 100).build(), nowMillis));
     placer.report(progress(name, 1, AttemptPhase.PREFILLED), nowMillis);
--- a/core/src/test/java/org/marjoramsail/core/placement/UpstreamRateLimitTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/UpstreamRateLimitTest.java
@@ -29,11 +29,11 @@
  */
 class UpstreamRateLimitTest {
 
-  private static final long STATED_FROM_MILLIS = 4_000;
-  private static final long LENGTH_MILLIS = 20_000;
+  private static final long LIMITED_FROM_MILLIS = 4_000;
+  private static final long DURATION_MILLIS = 20_000;
 
   /** How long after the first word of a limit the fleet has to keep it. */
-  private static final long CONTACT_MILLIS = 3_000;
+  private static final long PROPAGATION_MILLIS = 3_000;
 
   /** How long a host may take to act on what it has passed on to a caller. */
   private static final long REACTION_MILLIS = 500;
@@ -50,11 +50,11 @@
 
   @ParameterizedTest
   @CsvSource({"7, 3, 2, 1", "7, 3, 2, 2", "77, 12, 4, 1", "390, 40, 12, 1"})
-  void hostsTogetherKeepToTheLimitThatAnUpstreamNames(
+  void hostsTogetherObeyTheLimitOfAnUpstream(
       int hosts, int upstreams, int limited, long seed) {
     HostsBeforeUpstreams fleet = fleet(hosts, upstreams, limited, seed, Way.AT_THE_OWNER);
 
-    fleet.run(LENGTH_MILLIS);
+    fleet.run(DURATION_MILLIS);
 
     assertLimitsHold(fleet, limited);
   }
@@ -62,13 +62,13 @@
   /** An upstream in need is kept busy with what it can take. */
   @ParameterizedTest
   @CsvSource({"7, 3, 2, 1", "77, 12, 4, 1", "390, 40, 12, 1"})
-  void aLimitIsUsedUpWhereMoreIsWanted(int hosts, int upstreams, int limited, long seed) {
+  void aLimitIsFullyUsedUnderHigherDemand(int hosts, int upstreams, int limited, long seed) {
     HostsBeforeUpstreams fleet = fleet(hosts, upstreams, limited, seed, Way.AT_THE_OWNER);
 
-    fleet.run(LENGTH_MILLIS);
+    fleet.run(DURATION_MILLIS);
 
     for (UpstreamName name : fleet.upstreams().subList(0, limited)) {
-      assertThat(used(fleet, name)).isGreaterThan(0.9);
+      assertThat(usedShare(fleet, name)).isGreaterThan(0.9);
     }
   }
 
@@ -78,28 +78,28 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {77, 390})
-  void partsOfHostsLeaveTheUpstreamWithMoreThanItsLimitWhereOwnersKeepIt(int hosts) {
+  void sharesPerHostExceedALimitThatOwnersKeep(int hosts) {
     HostsBeforeUpstreams byOwner = fleet(hosts, 12, 4, 1, Way.AT_THE_OWNER);
-    HostsBeforeUpstreams byParts = fleet(hosts, 12, 4, 1, Way.SHARES_OF_HOSTS);
-    byOwner.run(LENGTH_MILLIS);
-    byParts.run(LENGTH_MILLIS);
+    HostsBeforeUpstreams byShares = fleet(hosts, 12, 4, 1, Way.SHARES_OF_HOSTS);
+    byOwner.run(DURATION_MILLIS);
+    byShares.run(DURATION_MILLIS);
 
     UpstreamName first = byOwner.upstreams().get(0);
-    assertThat(used(byOwner, first)).isBetween(0.9, 1.1);
-    assertThat(used(byParts, first)).isGreaterThan(1.5);
+    assertThat(usedShare(byOwner, first)).isBetween(0.9, 1.1);
+    assertThat(usedShare(byShares, first)).isGreaterThan(1.5);
   }
 
   /** Owners die one after the other; none of them knows what the ones before it were told. */
   @Property(seed = "20261203", tries = 12)
-  void theLimitHoldsWhateverOwnersDie(@ForAll @LongRange(min = 1) long seed) {
+  void theLimitHoldsWhenOwnersFail(@ForAll @LongRange(min = 1) long seed) {
     HostsBeforeUpstreams fleet = fleet(7, 3, 2, seed, Way.AT_THE_OWNER);
     Random random = new Random(seed);
-    for (long at = STATED_FROM_MILLIS; at < LENGTH_MILLIS; at += 500 + random.nextInt(2_500)) {
-      int dead = random.nextInt(3);
-      fleet.events().at(at, () -> fleet.kill(dead));
+    for (long at = LIMITED_FROM_MILLIS; at < DURATION_MILLIS; at += 500 + random.nextInt(2_500)) {
+      int failed = random.nextInt(3);
+      fleet.events().at(at, () -> fleet.kill(failed));
     }
 
-    fleet.run(LENGTH_MILLIS);
+    fleet.run(DURATION_MILLIS);
 
     assertLimitsHold(fleet, 2);
   }
@@ -110,11 +110,11 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {7, 77})
-  void theLimitHoldsWhenTheOwnerIsCutOffFromThoseThatWereTold(int hosts) {
+  void theLimitHoldsWhenTheOwnerIsPartitionedFromHostsThatReceivedIt(int hosts) {
     HostsBeforeUpstreams fleet = fleet(hosts, 3, 2, 1, Way.AT_THE_OWNER);
     fleet.events().at(8_000, () -> fleet.putOnSide(0, 1));
 
-    fleet.run(LENGTH_MILLIS);
+    fleet.run(DURATION_MILLIS);
 
     for (UpstreamName name : fleet.upstreams().subList(0, 2)) {
       assertThat(mostInAWindow(fleet, name, arrival -> !arrival.host().host().equals("host-0")))
@@ -126,11 +126,11 @@
 
   /** A host that reaches no other one decides for itself by what it was told. */
   @Test
-  void aHostThatIsAloneKeepsToTheLimit() {
+  void anIsolatedHostObeysTheLimit() {
     HostsBeforeUpstreams fleet = fleet(2, 3, 2, 1, Way.AT_THE_OWNER);
     fleet.events().at(8_000, () -> fleet.putOnSide(1, 1));
 
-    fleet.run(LENGTH_MILLIS);
+    fleet.run(DURATION_MILLIS);
 
     for (UpstreamName name : fleet.upstreams().subList(0, 2)) {
       long most = mostInAWindow(fleet, name, arrival -> arrival.host().host().equals("host-1"));
@@ -139,14 +139,14 @@
   }
 
   @Test
-  void aLimitThatFallsIsKeptAndOneThatEndsIsForgotten() {
+  void aLoweredLimitIsObeyedAndARemovedLimitIsDropped() {
     HostsBeforeUpstreams fleet =
         new HostsBeforeUpstreams(7, 3, SLOTS, WORK_MILLIS, 1, Way.AT_THE_OWNER);
     UpstreamName changing = fleet.upstreams().get(0);
     fleet.saying(name -> name.equals(changing) ? changing(fleet) : UpstreamFeedback.NOTHING);
-    fleet.load(3 * LOAD_OF_UPSTREAM, 0, LENGTH_MILLIS);
+    fleet.load(3 * LOAD_OF_UPSTREAM, 0, DURATION_MILLIS);
 
-    fleet.run(LENGTH_MILLIS);
+    fleet.run(DURATION_MILLIS);
 
     assertThat(arrivals(fleet, changing, 9_000, 13_000)).isLessThanOrEqualTo(allowed(2));
     assertThat(arrivals(fleet, changing, 15_000, 19_000)).isGreaterThan(30);
@@ -173,20 +173,20 @@
 
   /** What all upstreams together do not take is refused soon, with the time after which it fits. */
   @Test
-  void whatNoUpstreamTakesIsRefusedInTimeWithATimeToComeBack() {
+  void excessRequestsAreRefusedEarlyWithARetryTime() {
     HostsBeforeUpstreams fleet = fleet(7, 3, 3, 1, Way.AT_THE_OWNER);
 
-    fleet.run(LENGTH_MILLIS);
+    fleet.run(DURATION_MILLIS);
 
     assertLimitsHold(fleet, 3);
     List<End> refused =
         fleet.ends().stream()
-            .filter(end -> !end.served() && end.askedAtMillis() > STATED_FROM_MILLIS + 1_000)
+            .filter(end -> !end.served() && end.askedAtMillis() > LIMITED_FROM_MILLIS + 1_000)
             .toList();
     assertThat(refused).isNotEmpty();
     assertThat(refused).allMatch(end -> end.retryAfter().orElse(0L) > 0);
     assertThat(refused).allMatch(end -> end.endedAtMillis() - end.askedAtMillis() <= 1_500);
-    assertThat(refused.stream().filter(UpstreamRateLimitTest::isToldInTime).count())
+    assertThat(refused.stream().filter(UpstreamRateLimitTest::isRefusedBeforeTarget).count())
         .isGreaterThan(refused.size() * 9L / 10);
   }
 
@@ -197,10 +197,10 @@
         new HostsBeforeUpstreams(hosts, upstreams, SLOTS, WORK_MILLIS, seed, way);
     fleet.saying(
         name ->
-            fleet.events().now() >= STATED_FROM_MILLIS && fleet.upstreams().indexOf(name) < limited
+            fleet.events().now() >= LIMITED_FROM_MILLIS && fleet.upstreams().indexOf(name) < limited
                 ? limit(limitOf(fleet, name))
                 : UpstreamFeedback.NOTHING);
-    fleet.load(LOAD_OF_UPSTREAM * upstreams, 0, LENGTH_MILLIS);
+    fleet.load(LOAD_OF_UPSTREAM * upstreams, 0, DURATION_MILLIS);
     return fleet;
   }
 
@@ -214,7 +214,7 @@
 
   private static UpstreamFeedback changing(HostsBeforeUpstreams fleet) {
     long now = fleet.events().now();
-    if (now < STATED_FROM_MILLIS || now >= 13_000) {
+    if (now < LIMITED_FROM_MILLIS || now >= 13_000) {
       return UpstreamFeedback.NOTHING;
     }
     return limit(now < 8_000 ? 6 : 2);
@@ -233,10 +233,10 @@
   }
 
   /** Which part of its limit an upstream got, once all know of it. */
-  private static double used(HostsBeforeUpstreams fleet, UpstreamName name) {
-    long from = STATED_FROM_MILLIS + CONTACT_MILLIS;
-    double seconds = (LENGTH_MILLIS - from) / 1_000.0;
-    return arrivals(fleet, name, from, LENGTH_MILLIS) / (seconds * limitOf(fleet, name));
+  private static double usedShare(HostsBeforeUpstreams fleet, UpstreamName name) {
+    long from = LIMITED_FROM_MILLIS + PROPAGATION_MILLIS;
+    double seconds = (DURATION_MILLIS - from) / 1_000.0;
+    return arrivals(fleet, name, from, DURATION_MILLIS) / (seconds * limitOf(fleet, name));
   }
 
   private static long arrivals(HostsBeforeUpstreams fleet, UpstreamName name, long from, long to) {
@@ -256,8 +256,8 @@
     List<Arrival> counted =
         fleet.arrivals().stream()
             .filter(arrival -> arrival.upstream().equals(name))
-            .filter(arrival -> arrival.atMillis() >= STATED_FROM_MILLIS + CONTACT_MILLIS)
-            .filter(arrival -> isTold(fleet, arrival) && isCounted.test(arrival))
+            .filter(arrival -> arrival.atMillis() >= LIMITED_FROM_MILLIS + PROPAGATION_MILLIS)
+            .filter(arrival -> hasReceivedLimit(fleet, arrival) && isCounted.test(arrival))
             .toList();
     long most = 0;
     for (Arrival last : counted) {
@@ -273,14 +273,14 @@
   }
 
   /** Whether a caller was refused before its answer would have been late. */
-  private static boolean isToldInTime(End end) {
+  private static boolean isRefusedBeforeTarget(End end) {
     return end.endedAtMillis() - end.askedAtMillis() <= HostsBeforeUpstreams.TARGET_MILLIS;
   }
 
-  private static boolean isTold(HostsBeforeUpstreams fleet, Arrival arrival) {
+  private static boolean hasReceivedLimit(HostsBeforeUpstreams fleet, Arrival arrival) {
     return fleet
         .toldAt(arrival.upstream(), arrival.host())
-        .filter(toldAt -> arrival.atMillis() >= toldAt + REACTION_MILLIS)
+        .filter(receivedAt -> arrival.atMillis() >= receivedAt + REACTION_MILLIS)
         .isPresent();
   }
 }
