--- a/core/src/main/java/org/marjoramsail/core/placement/CacheEvent.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/CacheEvent.java
@@ -3,19 +3,19 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * What an engine published of its prefix cache; events come late and with gaps.
+ * Change of an engine's prefix cache; events are delayed and some may be missing.
  *
- * @param upstream whose cache
- * @param kind what happened
- * @param hash the block's chained hash; meaningless when {@code kind} is {@code CLEARED}
+ * @param upstream the upstream whose cache changed
+ * @param kind the kind of change
+ * @param hash the chained hash of the block; meaningless when {@code kind} is {@code CLEARED}
  */
 public record CacheEvent(UpstreamName upstream, Kind kind, long hash) {
 
-  /** What happened to a block. */
+  /** Kind of change to the cache. */
   public enum Kind {
     STORED,
     REMOVED,
-    /** All blocks are gone. */
+    /** All blocks were removed. */
     CLEARED
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/CacheObserver.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/CacheObserver.java
@@ -1,6 +1,6 @@
 package org.marjoramsail.core.placement;
 
-/** Takes cache events as hints for where prefixes are. */
+/** Receives cache events as hints of where prefixes are cached. */
 @FunctionalInterface
 public interface CacheObserver {
 
--- a/core/src/main/java/org/marjoramsail/core/placement/DecayingRate.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/DecayingRate.java
@@ -1,6 +1,6 @@
 package org.marjoramsail.core.placement;
 
-/** How much of something happened for each millisecond, the last seconds counting most. */
+/** Rate of an amount a millisecond, with an exponentially decaying weight of past amounts. */
 final class DecayingRate {
 
   private static final double MEMORY_MILLIS = 5_000;
--- a/core/src/main/java/org/marjoramsail/core/placement/EjectionState.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/EjectionState.java
@@ -1,6 +1,6 @@
 package org.marjoramsail.core.placement;
 
-/** Whether one upstream fails too often to get work, and how slowly it gets work again. */
+/** Tracks the failures of one upstream, its ejections and its slow start after them. */
 final class EjectionState {
 
   private static final int CONSECUTIVE_FAILURES = 5;
@@ -8,8 +8,8 @@
   private static final double FAILURE_RATIO = 0.5;
 
   /**
-   * An upstream that is back after an outage of some seconds is not left out for a minute. One that
-   * is still away costs one request at each return, since it starts slowly.
+   * Limits the ejection time, so that an upstream that recovered after some seconds is not excluded
+   * for a minute. One that still fails costs few requests, since it starts slowly.
    */
   private static final int MAXIMUM_DOUBLINGS = 2;
 
@@ -34,17 +34,17 @@
     return nowMillis < ejectedUntil;
   }
 
-  /** Whether it was ejected and has not answered well since. */
+  /** Returns whether the upstream was ejected and has not succeeded since. */
   boolean isAwaitingSuccess() {
     return awaitingSuccess;
   }
 
-  /** Whether its last answer was a good one, and came after {@code sinceMillis}. */
+  /** Returns whether the last response succeeded and came at {@code sinceMillis} or later. */
   boolean isServingSince(long sinceMillis) {
     return consecutiveFailures == 0 && succeededAt >= sinceMillis;
   }
 
-  /** Whether it fails every time, not only often. */
+  /** Returns whether the upstream has failed repeatedly without a success in between. */
   boolean isAlwaysFailing() {
     return consecutiveFailures >= CONSECUTIVE_FAILURES;
   }
@@ -59,15 +59,19 @@
     }
   }
 
-  /** Counts a failure; true when the upstream should be ejected now. */
+  /** Counts a failure and returns whether the upstream should be ejected now. */
   boolean failed() {
     consecutiveFailures++;
     count(1);
-    boolean isOften = windowResults >= WINDOW_RESULTS / 2 && windowFailures >= windowResults * FAILURE_RATIO;
+    boolean isOften =
+        windowResults >= WINDOW_RESULTS / 2 && windowFailures >= windowResults * FAILURE_RATIO;
     return consecutiveFailures >= CONSECUTIVE_FAILURES || isOften;
   }
 
-  /** Ejects the upstream for twice as long as the last time; then it starts slowly. */
+  /**
+   * Ejects the upstream, with a time that doubles up to a limit with each ejection; it starts
+   * slowly afterwards.
+   */
   void eject(long nowMillis) {
     long outMillis = settings.ejectionMillis() << Math.min(recentEjections, MAXIMUM_DOUBLINGS);
     recentEjections++;
@@ -83,7 +87,7 @@
     slowStartAt = Math.max(slowStartAt, fromMillis);
   }
 
-  /** The share of its slots that it gets, from a tenth to one. */
+  /** Returns the share of its slots that the upstream may use, from a tenth to one. */
   double share(long nowMillis) {
     long sinceMillis = nowMillis - slowStartAt;
     if (sinceMillis >= settings.slowStartMillis()) {
--- a/core/src/main/java/org/marjoramsail/core/placement/Grant.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/Grant.java
@@ -6,15 +6,16 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * Upstreams for one attempt of one request, reserved until it is released.
+ * Upstreams that are reserved for one attempt of a request until it is released.
  *
  * @param request the request
- * @param attempt the attempt that asked
- * @param mode how the upstreams share the work
- * @param prefill the upstream that reads the prompt; present when {@code mode} transfers
- * @param target the upstream that generates or answers
- * @param expectedPrefillMillis estimate for reading the prompt
- * @param expectedTransferMillis estimate for moving its KV cache
+ * @param attempt the number of the attempt
+ * @param mode how the upstreams divide the work
+ * @param prefill the upstream that prefills the prompt; present when {@code mode} transfers a KV
+ *     cache
+ * @param target the upstream that generates the output or responds
+ * @param expectedPrefillMillis estimated time of the prefill
+ * @param expectedTransferMillis estimated time of the KV cache transfer
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record Grant(
--- a/core/src/main/java/org/marjoramsail/core/placement/GrantMode.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/GrantMode.java
@@ -1,12 +1,12 @@
 package org.marjoramsail.core.placement;
 
-/** How the upstreams of a grant share the work. */
+/** Division of the work between the upstreams of a grant. */
 public enum GrantMode {
-  /** One upstream reads the prompt, another generates. */
+  /** One upstream prefills the prompt, another generates the output. */
   DISAGGREGATED(true),
-  /** The generating upstream reads the prompt itself. */
+  /** The generating upstream prefills the prompt itself. */
   LOCAL_PREFILL(false),
-  /** A plain service answers. */
+  /** A plain service responds. */
   PLAIN(false);
 
   private final boolean transferring;
@@ -15,7 +15,7 @@
     this.transferring = transferring;
   }
 
-  /** Whether a KV cache crosses a link. */
+  /** Returns whether a KV cache is transferred. */
   public boolean isTransferring() {
     return transferring;
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/LoadReport.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/LoadReport.java
@@ -4,17 +4,17 @@
 import org.marjoramsail.core.model.UpstreamRole;
 
 /**
- * What an upstream says of its load; it is late by its age and more.
+ * Load that an upstream reports of itself; a report is delayed by its age and its transport.
  *
- * @param upstream who says it
- * @param incarnation rises each time that the upstream starts
- * @param role the role that it has now
- * @param slots how many requests it holds at most
- * @param running how many it holds
- * @param waiting how many it has accepted and not begun
- * @param queuedPrefillTokens prompt tokens that it has accepted and not read
- * @param leaving whether it says that it takes no new work
- * @param ageMillis how old the report was when it was given
+ * @param upstream the reporting upstream
+ * @param incarnation a number that rises with each start of the upstream
+ * @param role the present role
+ * @param slots the maximum number of concurrent requests
+ * @param running the number of running requests
+ * @param waiting the number of accepted requests that have not started
+ * @param queuedPrefillTokens prompt tokens that are accepted and not prefilled
+ * @param leaving whether the upstream reports that it takes no new work
+ * @param ageMillis the age of the report when it was received
  */
 public record LoadReport(
     UpstreamName upstream,
--- a/core/src/main/java/org/marjoramsail/core/placement/MemoryForecast.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/MemoryForecast.java
@@ -8,24 +8,21 @@
 import org.marjoramsail.core.model.RequestId;
 
 /**
- * Foretells how much memory the requests on one decode upstream will need at most.
+ * Predicts the peak memory of the requests on one decode upstream, in tokens.
  *
- * <p>A request takes its prompt at once and grows by each token until it ends, when all of it is
- * free again. Were each counted with its full length from the start, a tenth of the memory would
- * stay idle; were each counted as it is now, they would outgrow the memory together, and the
- * upstream would preempt one and read its prompt again. So the need is worked out at each moment at
- * which a request is expected to end, with the lengths that all others have by then.
+ * <p>A request occupies its prompt at once, grows with each token and frees all of it when it ends.
+ * Counting the full lengths from the start would leave memory idle; counting the present lengths
+ * would let the requests outgrow the memory, so that the upstream preempts one and prefills its
+ * prompt again. The peak is therefore computed at each expected end of a request, with the lengths
+ * of the others at that time.
  */
 final class MemoryForecast {
 
   /**
-   * By how many standard deviations of the lengths that are left the need is put higher than their
-   * means make it.
+   * Safety margin above the expected peak, in standard deviations of the remaining lengths.
    *
-   * <p>A preempted stream is late and is read again, which costs about two and a half streams that
-   * end in time; a stream that waits costs itself. Of a server that always has more to do, 0.3 lost
-   * least: 2 to 3 preemptions in 100 streams and 0.92 of the streams that fit by plain means, which
-   * made 16 to 18 in 100 (a model of one engine). From 0 to 1 the loss differs by 2 to 3 in 100.
+   * <p>A preempted stream is prefilled again and misses its deadline, which costs more than the
+   * delay of a waiting stream.
    */
   private static final double SAFETY_MARGIN_DEVIATIONS = 0.3;
 
@@ -48,7 +45,7 @@
     }
   }
 
-  /** One request as it stands now: what it holds and how much it will still grow. */
+  /** Memory that a request occupies now and its expected remaining growth. */
   private record RequestMemory(double held, OutputLengthDistribution.Remaining remaining) {
     double mean() {
       return remaining.mean();
@@ -58,17 +55,17 @@
   private final OutputLengthDistribution outputLengths;
   private final Map<RequestId, TrackedRequest> trackedRequests = new HashMap<>();
 
-  /** Creates an instance with how far lengths lie from what was foretold. */
+  /** Creates a forecast that uses the given distribution of output lengths. */
   MemoryForecast(OutputLengthDistribution outputLengths) {
     this.outputLengths = outputLengths;
   }
 
-  /** Handles a request that is to run here. */
+  /** Adds a request that will run on the upstream. */
   void add(RequestId request, int promptTokens, int expectedTokens) {
     trackedRequests.put(request, new TrackedRequest(promptTokens, expectedTokens));
   }
 
-  /** Records that a request generates from now on. */
+  /** Records that a request generates output from now on. */
   void generationStarted(RequestId request, long nowMillis) {
     TrackedRequest tracked = trackedRequests.get(request);
     if (tracked != null && tracked.generatingSince == NOT_GENERATING) {
@@ -76,24 +73,27 @@
     }
   }
 
-  /** Records that a request holds nothing here any more. */
+  /** Removes a request that no longer uses memory on the upstream. */
   void remove(RequestId request) {
     trackedRequests.remove(request);
   }
 
   /**
-   * The most memory that all of them and one more will need at one time, in tokens, with some
-   * caution for lengths that cannot be foretold.
+   * Returns the predicted peak memory of all requests and one more, in tokens, with a safety margin
+   * for the uncertainty of the output lengths.
    *
-   * @param millisPerToken how long a token takes
+   * @param millisPerToken generation time of one token
    */
-  double peakTokensWith(int promptTokens, int expectedTokens, long nowMillis, double millisPerToken) {
+  double peakTokensWith(
+      int promptTokens, int expectedTokens, long nowMillis, double millisPerToken) {
     List<RequestMemory> all = new ArrayList<>(trackedRequests.size() + 1);
     all.add(new RequestMemory(promptTokens, outputLengths.remaining(expectedTokens, 0)));
     for (TrackedRequest one : trackedRequests.values()) {
       double generated = one.generated(nowMillis, millisPerToken);
       all.add(
-          new RequestMemory(one.promptTokens + generated, outputLengths.remaining(one.expectedTokens, generated)));
+          new RequestMemory(
+              one.promptTokens + generated,
+              outputLengths.remaining(one.expectedTokens, generated)));
     }
     all.sort(Comparator.comparingDouble(RequestMemory::mean));
     double heldByLater = all.stream().mapToDouble(RequestMemory::held).sum();
--- a/core/src/main/java/org/marjoramsail/core/placement/MissingResource.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/MissingResource.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import org.marjoramsail.core.failure.RefusalReason;
 
-/** What a waiting attempt waits for. */
+/** Resource that a waiting attempt lacks. */
 enum MissingResource {
   DECODE_SLOT(RefusalReason.DEADLINE_UNREACHABLE),
   PREFILL_CAPACITY(RefusalReason.DEADLINE_UNREACHABLE),
@@ -11,7 +11,7 @@
   ORGANISATION_CONCURRENCY(RefusalReason.ORGANISATION_CONCURRENCY),
   ORGANISATION_RATE(RefusalReason.ORGANISATION_RATE),
   PLAIN_SLOT(RefusalReason.DEADLINE_UNREACHABLE),
-  /** No upstream of a role that it needs may be used at all. */
+  /** No upstream of a required role is usable. */
   UPSTREAM(RefusalReason.NO_UPSTREAM);
 
   private final RefusalReason reason;
@@ -20,12 +20,12 @@
     this.reason = reason;
   }
 
-  /** Why an attempt is refused that waited for this until it was too late. */
+  /** Returns why an attempt is refused that lacked this resource until its deadline. */
   RefusalReason reason() {
     return reason;
   }
 
-  /** The word that operators see. */
+  /** Returns the code that operators see. */
   String code() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/MovingAverage.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/MovingAverage.java
@@ -1,14 +1,14 @@
 package org.marjoramsail.core.placement;
 
 /**
- * An exponentially weighted moving average that ignores nonsense and bounds each step.
+ * Exponentially weighted moving average that ignores invalid samples and bounds each step.
  *
- * <p>The value that it starts with counts as one observation: a guess that is ten times too long is
- * outvoted by ten samples and not only by forty.
+ * <p>The initial value has the weight of one sample, so that a few samples outweigh a wrong initial
+ * estimate.
  */
 final class MovingAverage {
 
-  /** The weight of one sample once there are enough of them. */
+  /** Weight of a sample once there are enough of them. */
   private static final double MINIMUM_WEIGHT = 0.1;
 
   private static final double MAXIMUM_STEP_FACTOR = 4;
@@ -24,12 +24,14 @@
     return value;
   }
 
-  /** Whether anything was observed, so that the value is no guess. */
+  /**
+   * Returns whether any sample was observed, so that the value is not only the initial estimate.
+   */
   boolean hasObservations() {
     return weight < 1;
   }
 
-  /** Handles one observation; one outlier moves the average by a bounded factor only. */
+  /** Adds a sample; a single outlier changes the average by a bounded factor only. */
   void observe(double sample) {
     if (!(sample > 0) || Double.isInfinite(sample)) {
       return;
--- a/core/src/main/java/org/marjoramsail/core/placement/OutputLengthDistribution.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/OutputLengthDistribution.java
@@ -3,32 +3,32 @@
 import java.util.Arrays;
 
 /**
- * How far the lengths of answers lie from what was foretold, as learned from those that ended.
+ * Distribution of output lengths relative to their predictions, learned from completed outputs.
  *
- * <p>Kept as some quantiles of the ratio of length to forecast, so that it needs no assumption of
- * how lengths are spread, and says how much a stream that has come so far will still grow.
+ * <p>It keeps quantiles of the ratio of actual to predicted length, assumes no particular
+ * distribution, and estimates the remaining length of a stream from the tokens generated so far.
  */
 final class OutputLengthDistribution {
 
-  /** What one answer will still grow by, in tokens. */
+  /** Expected remaining length of an output, in tokens. */
   record Remaining(double mean, double variance) {}
 
-  /** Sixteen quantiles of the normal distribution; eight are enough to write them down. */
+  /** The upper half of sixteen quantiles of the normal distribution; the lower half mirrors it. */
   private static final double[] UPPER_HALF = {
     0.0784, 0.2372, 0.4023, 0.5791, 0.7764, 1.0100, 1.3180, 1.8627
   };
 
   private static final int SAMPLES = 2 * UPPER_HALF.length;
 
-  /** Before any answer: two thirds lie between 0.64 and 1.57 times the forecast. */
+  /** Standard deviation of the logarithm of the ratio before any output is observed. */
   private static final double INITIAL_DEVIATION = 0.45;
 
-  /** How far one answer moves each quantile, in natural logarithms of the ratio. */
+  /** How far one observation moves each quantile, in natural logarithms of the ratio. */
   private static final double STEP = 0.05;
 
   private static final double MINIMUM_RATIO = 0.001;
 
-  /** A stream that has outgrown all that were seen grows by that share of what it has. */
+  /** Expected further growth of a stream that exceeds all quantiles, as a share of its length. */
   private static final double OUTGROWN_GROWTH_SHARE = 0.15;
 
   private final double[] logarithms = new double[SAMPLES];
@@ -42,17 +42,17 @@
     updateRatios();
   }
 
-  /** A first guess. */
+  /** Creates a distribution with the default deviation, to be refined by observations. */
   static OutputLengthDistribution initialEstimate() {
     return new OutputLengthDistribution(INITIAL_DEVIATION);
   }
 
-  /** Answers are as long as was foretold. */
+  /** Creates a distribution in which outputs have exactly the predicted length. */
   static OutputLengthDistribution exact() {
     return new OutputLengthDistribution(0);
   }
 
-  /** Learns from an answer that came to its end. */
+  /** Updates the quantiles from a completed output. */
   void observe(double tokens, double predictedTokens) {
     double logarithm = Math.log(Math.max(MINIMUM_RATIO, tokens / predictedTokens));
     for (int index = 0; index < SAMPLES; index++) {
@@ -63,7 +63,7 @@
     updateRatios();
   }
 
-  /** What an answer will still grow by, given that it has come so far. */
+  /** Returns the expected remaining length of an output that has generated the given tokens. */
   Remaining remaining(double predictedTokens, double generatedTokens) {
     double sum = 0;
     double squares = 0;
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementCandidate.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementCandidate.java
@@ -6,10 +6,11 @@
 /**
  * Upstreams that can take an attempt now.
  *
- * @param prefill present when the mode transfers
- * @param isPrefillNeeded whether the prompt has still to be read
- * @param uncachedTokens tokens of the prompt that are not expected in the reader's cache
- * @param transferBytes size of its KV cache when the mode transfers
+ * @param prefill the prefill upstream; present when the mode transfers a KV cache
+ * @param isPrefillNeeded whether the prompt still has to be prefilled
+ * @param uncachedTokens tokens of the prompt that are not expected in the cache of the upstream
+ *     that prefills it
+ * @param transferBytes size of the KV cache when the mode transfers it
  */
 record PlacementCandidate(
     GrantMode mode,
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementEstimates.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementEstimates.java
@@ -3,7 +3,7 @@
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 
-/** What the placer of one shard has learned from attempts that ended. */
+/** Estimates of the placer of one shard, learned from attempts that ended. */
 final class PlacementEstimates {
 
   private static final int MAXIMUM_RULES = 256;
@@ -16,8 +16,8 @@
   private static final double MAXIMUM_PAUSE_SHARE = 1.5;
 
   /**
-   * How much of the longest pause between two pieces may be used up by what is foretold; the way of
-   * a piece to its caller and errors of the forecast take the rest.
+   * Share of the longest allowed pause between two chunks that a local prefill may use; the rest
+   * covers the transport of a chunk and prediction errors.
    */
   private static final double USABLE_PAUSE_SHARE = 0.85;
 
@@ -41,12 +41,12 @@
     this.linkBytesPerMilli = new MovingAverage(settings.linkBytesPerMilli());
   }
 
-  /** Output tokens that a request will probably generate. */
+  /** Returns the expected number of output tokens of a request. */
   double outputTokens(PlacementRequest request) {
     return request.outputTokens() * outputShare(request.rule()).value();
   }
 
-  /** How long a slot is held on average, in milliseconds. */
+  /** Returns how long a slot is held on average, in milliseconds. */
   double holdMillis() {
     return holdMillis.value();
   }
@@ -65,20 +65,20 @@
     }
   }
 
-  /** How much memory of a decode upstream one request is given on average, in tokens. */
+  /** Returns the average memory of a request on a decode upstream, in tokens. */
   double heldTokens() {
     return heldTokens.value();
   }
 
   /**
-   * How long a generated answer takes on average, in milliseconds: as its tokens foretell, which
-   * holds before there is any answer to learn from.
+   * Returns the average generation time in milliseconds, as predicted from the tokens, so that it
+   * is available before any output completed.
    */
   double generationMillis() {
     return (heldTokens() - promptTokens()) * decodeMillisPerToken();
   }
 
-  /** How many generations were granted. */
+  /** Returns how many generations were granted. */
   long grants() {
     return grants;
   }
@@ -89,16 +89,16 @@
     promptTokens.observe((double) request.promptTokens());
   }
 
-  /** How long a prompt is on average, in tokens. */
+  /** Returns the average length of a prompt, in tokens. */
   double promptTokens() {
     return promptTokens.value();
   }
 
   /**
-   * Whether enough answers came for what was learned from them to decide by.
+   * Returns whether enough requests completed for decisions to rely on the estimates.
    *
-   * <p>Before that the estimates are guesses: an owner that begins in a burst would refuse by them
-   * what fits easily, so that few answers come to correct them.
+   * <p>Before that, refusing requests by initial estimates could reject what fits, and few
+   * completions would correct the estimates.
    */
   boolean hasEnoughSamples() {
     return completedRequests >= MINIMUM_COMPLETED_REQUESTS;
@@ -117,13 +117,14 @@
     }
   }
 
-  /** How long the tokens of one piece take, in milliseconds. */
+  /** Returns the generation time of one chunk, in milliseconds. */
   double chunkMillis(PlacementRequest request) {
     return request.pieces().tokens() * decodeMillisPerToken();
   }
 
   /**
-   * How long a prompt may be read beside answers that may not pause for longer, in milliseconds.
+   * Returns how long a prefill may run concurrently with streams that allow only the given pause,
+   * in milliseconds.
    */
   double localPrefillMillisWithinPause(PlacementRequest request) {
     double longest = request.pieces().longestPauseMillis() * USABLE_PAUSE_SHARE;
@@ -131,13 +132,14 @@
   }
 
   /**
-   * Learns from an answer how much of a reading beside it falls into one of its pauses.
+   * Updates the share of a local prefill that falls into one pause of a concurrent stream.
    *
-   * <p>An engine that reads in small parts between the tokens spreads a prompt over several pieces;
-   * one that reads in large parts keeps a single piece waiting for all of it. A pause that is
-   * longer than the reading explains has another cause.
+   * <p>An engine that prefills in small chunks between output tokens spreads a prompt over several
+   * pauses; one that prefills in large chunks delays a single output chunk for all of it. A pause
+   * that is too long to be caused by the prefill is ignored.
    *
-   * @param localPrefillMillis the longest reading beside it; zero where there was none
+   * @param localPrefillMillis the longest prefill concurrent with the stream; zero if there was
+   *     none
    */
   void learnPause(PlacementRequest request, long pauseMillis, double localPrefillMillis) {
     double share = (pauseMillis - chunkMillis(request)) / localPrefillMillis;
@@ -146,7 +148,7 @@
     }
   }
 
-  /** How far lengths of answers lie from what was foretold. */
+  /** Returns the distribution of output lengths relative to their predictions. */
   OutputLengthDistribution outputLengths() {
     return outputLengths;
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementSettings.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementSettings.java
@@ -1,31 +1,35 @@
 package org.marjoramsail.core.placement;
 
 /**
- * Where the estimates of a placer start, and its bounds.
+ * Initial estimates and limits of a placer.
  *
- * @param prefillTokensPerMilli first guess of how fast a prefill upstream reads, tokens a
+ * @param prefillTokensPerMilli initial estimate of the rate of a prefill upstream, in tokens a
  *     millisecond
- * @param prefillOverheadMillis first guess of the fixed time of a prefill
- * @param linkBytesPerMilli rate of the link of one upstream, bytes a millisecond
- * @param otherZoneMillis added to a transfer that leaves its availability zone
- * @param decodeMillisPerToken first guess of the time between two tokens
- * @param prefillAheadMillis how much unread work a prefill upstream is given ahead of need
- * @param kvLifetimeMillis how long a KV cache lives after its prefill
- * @param localPrefillMillis a prompt that a decode upstream reads within this is not disaggregated
- * @param localPrefillWhenBusy whether decode upstreams read prompts while all prefill upstreams are
- *     busy
- * @param localPrefillSlowdown first guess of how many times longer a decode upstream takes to read a
- *     prompt
- * @param quickHeadroom share of the slots that only quick requests may take while there are any
- * @param maximumWaiting how many attempts wait in a shard at most
- * @param ageingMillis how long a standard attempt waits before it is served like a quick one
- * @param promotionSlackMillis a deferrable attempt with less slack is served like a standard one
- * @param settlingMillis how long a new owner grants only what load reports show to be free
+ * @param prefillOverheadMillis initial estimate of the fixed time of a prefill
+ * @param linkBytesPerMilli initial estimate of the rate of the link of one upstream, in bytes a
+ *     millisecond
+ * @param otherZoneMillis time added to a transfer that leaves its availability zone
+ * @param decodeMillisPerToken initial estimate of the time between two output tokens
+ * @param prefillAheadMillis how much prefill work may queue on a prefill upstream
+ * @param kvLifetimeMillis how long a KV cache is kept after its prefill
+ * @param localPrefillMillis a prompt that a decode upstream can prefill within this time is not
+ *     disaggregated
+ * @param localPrefillWhenBusy whether decode upstreams prefill prompts while all prefill upstreams
+ *     are busy
+ * @param localPrefillSlowdown initial estimate of how many times longer a prefill takes on a decode
+ *     upstream
+ * @param quickHeadroom share of the slots that is reserved for quick requests while there are any
+ * @param maximumWaiting the maximum number of waiting attempts in a shard
+ * @param ageingMillis how long a standard attempt waits before it has the priority of a quick one
+ * @param promotionSlackMillis a deferrable attempt with less slack has the priority of a standard
+ *     one
+ * @param settlingMillis how long a new owner grants only slots that load reports show to be free
  * @param reportLagMillis how much older than its stated age a load report may be
- * @param ejectionMillis how long an upstream is ejected for the first time; doubles each time
- * @param slowStartMillis how long a returned upstream takes to get its full share
- * @param shardUpstreams the most upstreams of a shard; the same in all daemons, else they do not
- *     agree on what a shard is
+ * @param ejectionMillis duration of the first ejection of an upstream; it doubles with each further
+ *     one
+ * @param slowStartMillis how long a recovered upstream takes to get its full share
+ * @param shardUpstreams the maximum number of upstreams in a shard; it must be equal in all
+ *     daemons, else they disagree on the shards
  */
 public record PlacementSettings(
     double prefillTokensPerMilli,
@@ -48,7 +52,7 @@
     long slowStartMillis,
     int shardUpstreams) {
 
-  /** Values that suit engines of about twenty slots; the estimates correct themselves. */
+  /** Returns settings for engines of about twenty slots. */
   public static PlacementSettings defaults() {
     return new PlacementSettings(
         8,
@@ -73,11 +77,10 @@
   }
 
   /**
-   * Values for engines whose KV caches live for half a second, before plain services that answer
-   * within some tens of milliseconds. The rates are those that such engines state; the estimates
-   * correct themselves. A prompt is read by a prefill upstream whenever there is one that is not
-   * busy, since reading it beside running answers slows all of them. An owner settles no longer
-   * than entries take to register again after a change.
+   * Returns settings for engines that keep a KV cache for half a second, and for plain services
+   * that respond within some tens of milliseconds. A prompt goes to a prefill upstream whenever one
+   * is not busy, since a local prefill slows all streams of a decode upstream. A new owner settles
+   * only for as long as entry daemons take to register again.
    */
   public static PlacementSettings forShortLivedCaches() {
     return new PlacementSettings(
@@ -102,12 +105,12 @@
         ShardMap.MAXIMUM_UPSTREAMS);
   }
 
-  /** The same values with another bound of the queue, in attempts. */
+  /** Returns the same settings with another limit of waiting attempts. */
   public PlacementSettings withMaximumWaiting(int attempts) {
     return copy(attempts, shardUpstreams);
   }
 
-  /** The same values with another bound of a shard, in upstreams. */
+  /** Returns the same settings with another maximum number of upstreams in a shard. */
   public PlacementSettings withShardUpstreams(int upstreams) {
     return copy(maximumWaiting, upstreams);
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/PlainOccupancy.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlainOccupancy.java
@@ -1,27 +1,25 @@
 package org.marjoramsail.core.placement;
 
 /**
- * How much longer a plain request holds its slot in the owner's books than its upstream works on
- * it.
+ * Estimates how much longer a plain request holds its slot than its upstream works on it.
  *
- * <p>Between a grant and its send, and between an answer and the report of it, lie messages and
- * busy entry hosts. An upstream stands idle meanwhile: with slots that were held for twice the time
- * of the answer, a service was given half of what it can serve, and requests waited for slots at
- * upstreams with nothing to do. So upstreams are granted as many more slots as that.
+ * <p>Messages and busy entry hosts take time between a grant and its send, and between a response
+ * and its report. The upstream is idle meanwhile although its slot is held, so more slots are
+ * granted to compensate.
  */
 final class PlainOccupancy {
 
-  /** Upstreams queue some requests more than they work on; beyond that a guess gone wrong hurts. */
+  /** Bounds the extra slots, since a wrong estimate would overload the queues of the upstreams. */
   private static final double MAXIMUM_FACTOR = 2;
 
   private final MovingAverage averageSlotMillis = new MovingAverage(1);
   private final MovingAverage averageWorkMillis = new MovingAverage(1);
 
   /**
-   * Learns from one answer.
+   * Updates the estimate from one response.
    *
-   * @param slotMillis from its grant to the report of its end
-   * @param workMillis from its send to its answer; not positive where that is not known
+   * @param slotMillis time from the grant to the report of the end
+   * @param workMillis time from the send to the response; not positive if unknown
    */
   void learn(long slotMillis, long workMillis) {
     if (workMillis > 0 && slotMillis >= workMillis) {
@@ -30,7 +28,7 @@
     }
   }
 
-  /** How many requests may be granted for each that an upstream can work on; one or more. */
+  /** Returns the number of requests to grant for each slot of an upstream; one or more. */
   double factor() {
     double factor = averageSlotMillis.value() / averageWorkMillis.value();
     return Math.max(1, Math.min(MAXIMUM_FACTOR, factor));
--- a/core/src/main/java/org/marjoramsail/core/placement/PrefillRate.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PrefillRate.java
@@ -1,35 +1,35 @@
 package org.marjoramsail.core.placement;
 
 /**
- * How fast the prefill upstreams of a shard are, as the first guess for an upstream that has done
- * no prefill yet.
+ * Average prefill rate of the prefill upstreams of a shard, used as the initial estimate for an
+ * upstream that has run no prefill yet.
  *
- * <p>Decode upstreams take a prefill only where that keeps the pauses of their streams short. A
- * first guess of half their rate kept them from ever taking one, and so from ever being seen to be
- * faster, while prompts waited for seconds.
+ * <p>Decode upstreams prefill a prompt only if the resulting pause of their streams is short. An
+ * initial estimate that is too slow would keep them from ever running a prefill, and so from
+ * correcting the estimate.
  */
 final class PrefillRate {
 
   private final MovingAverage dedicatedMillisPerToken;
   private final double localPrefillSlowdown;
 
-  /** Starts with the rates of the settings. */
+  /** Creates a rate with the initial values of the settings. */
   PrefillRate(PlacementSettings settings) {
     this.dedicatedMillisPerToken = new MovingAverage(1 / settings.prefillTokensPerMilli());
     this.localPrefillSlowdown = settings.localPrefillSlowdown();
   }
 
-  /** Handles what a token took on a prefill upstream. */
+  /** Adds the observed time of a token on a prefill upstream. */
   void learn(double millisPerToken) {
     dedicatedMillisPerToken.observe(millisPerToken);
   }
 
-  /** What a token is expected to take on a prefill upstream. */
+  /** Returns the expected time of a token on a prefill upstream, in milliseconds. */
   double dedicatedMillisPerToken() {
     return dedicatedMillisPerToken.value();
   }
 
-  /** What a token is expected to take on a decode upstream, beside its answers. */
+  /** Returns the expected time of a token on a decode upstream that generates concurrently. */
   double localMillisPerToken() {
     return dedicatedMillisPerToken.value() * localPrefillSlowdown;
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/PrefixHasher.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PrefixHasher.java
@@ -11,11 +11,11 @@
  * Hashes a prompt block by block, so that daemons and engines agree on which prefixes are cached.
  *
  * <p>A token is a run of characters without white space. Each hash covers its own block and,
- * through the hash before it, the whole prefix. A last block that is not full has no hash.
+ * through the previous hash, the whole prefix. An incomplete last block has no hash.
  */
 public final class PrefixHasher {
 
-  /** Tokens in one block. */
+  /** Number of tokens in one block. */
   public static final int BLOCK_TOKENS = 16;
 
   private static final Hasher64 HASHER = Hashing.xxh3_64();
@@ -45,7 +45,7 @@
    * Hashes the first full blocks of a prompt.
    *
    * @param prompt the text
-   * @param maximumBlocks how many blocks at most; zero or more
+   * @param maximumBlocks the maximum number of blocks; zero or more
    * @return one hash for each block, first block first
    */
   public static List<Long> hashes(String prompt, int maximumBlocks) {
--- a/core/src/main/java/org/marjoramsail/core/placement/PrefixIndex.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PrefixIndex.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * Which prefix blocks one upstream probably has in its cache, in a fixed amount of memory.
+ * Index of the prefix blocks that one upstream probably has in its cache, with a fixed size.
  *
- * <p>A set-associative table of hashes: each hash has one row of eight places, the most recently
- * used first; a full row forgets its last. It is a hint: events come late and with gaps, and what
- * the engine reports corrects it.
+ * <p>It is a set-associative table of hashes: each hash maps to one row of eight entries in order
+ * of use, and a full row evicts the least recently used. The index is only a hint, since cache
+ * events are delayed and incomplete; what the engine reports corrects it.
  */
 final class PrefixIndex {
 
@@ -49,12 +49,12 @@
     size = 0;
   }
 
-  /** Adds the marks of a prompt. */
+  /** Adds the sampled hashes of a prompt. */
   void addAll(List<Long> sampledHashes) {
     sampledHashes.forEach(this::add);
   }
 
-  /** Removes the marks of a prompt that lie beyond so many leading blocks. */
+  /** Removes the sampled hashes of a prompt beyond the given number of leading blocks. */
   void removeBeyond(List<Long> sampledHashes, int leadingBlocks) {
     for (int position = 0; position < sampledHashes.size(); position++) {
       if (SampledPrefixHashes.blocks(position) > leadingBlocks) {
@@ -64,8 +64,8 @@
   }
 
   /**
-   * How many leading blocks of a prompt are here for certain; the hashes are chained, so halving
-   * finds the last mark.
+   * Returns how many leading blocks of a prompt are in the index; the hashes are chained, so a
+   * binary search finds the last match.
    */
   int match(List<Long> sampledHashes) {
     if (size == 0 || sampledHashes.isEmpty() || !contains(sampledHashes.get(0))) {
--- a/core/src/main/java/org/marjoramsail/core/placement/ProgressWatchdog.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ProgressWatchdog.java
@@ -7,21 +7,21 @@
 import org.marjoramsail.core.model.RequestId;
 
 /**
- * The requests of which one upstream has yet to give the first sign: a prompt that is read, or a
- * first piece.
+ * Tracks the requests whose first output from one upstream is pending: the end of a prefill or the
+ * first chunk of a stream.
  *
- * <p>Guards against an upstream that has fallen silent without closing a connection. A request that
- * may run only once is never taken away from it, so no failure is reported until its caller leaves
- * seconds later, and until then every slot of the upstream would be filled with requests that are
- * lost. A first sign is due long before that. One that gives signs of other requests meanwhile is
- * not silent: it is full, and the request waits there.
+ * <p>Guards against an upstream that stops responding without closing its connections. A request
+ * that may run only once is never retried elsewhere, so its failure is reported only when its
+ * caller disconnects, and until then every slot would fill with requests that are lost. An upstream
+ * that makes progress on other requests is not considered unresponsive: it is full, and the request
+ * waits there.
  */
 final class ProgressWatchdog {
 
-  /** How many times the expected time a first sign may take. */
+  /** The first output is overdue after this multiple of its expected time, plus the slack. */
   private static final int EXPECTED_TIME_FACTOR = 2;
 
-  /** What a first sign may take beyond that, in milliseconds: messages and a place in a batch. */
+  /** Additional time for messages and for waiting for a batch, in milliseconds. */
   private static final long SLACK_MILLIS = 300;
 
   private record Awaited(DaemonId entry, long sentAt, long dueAt) {}
@@ -29,27 +29,28 @@
   private final Map<RequestId, Awaited> awaited = new HashMap<>();
   private long progressAt = Long.MIN_VALUE;
 
-  /** Records that a request was sent, and when its first sign is expected. */
+  /** Records that a request was sent and when its first output is expected. */
   void awaitProgress(RequestId request, DaemonId entry, double expectedMillis, long nowMillis) {
     long dueAt = nowMillis + (long) (EXPECTED_TIME_FACTOR * expectedMillis) + SLACK_MILLIS;
     awaited.put(request, new Awaited(entry, nowMillis, dueAt));
   }
 
-  /** Records that the upstream gave a sign, of whichever request. */
+  /** Records that the upstream made progress on any request. */
   void progressMade(long nowMillis) {
     progressAt = nowMillis;
   }
 
-  /** Records that the sign of a request came, or that nobody waits for it any more. */
+  /** Stops tracking a request whose first output arrived or is no longer expected. */
   void stopAwaiting(RequestId request) {
     awaited.remove(request);
   }
 
   /**
-   * Whether a sign is overdue that would have been told by now, and no other came since.
+   * Returns whether a first output is overdue and the upstream made no progress since that request
+   * was sent.
    *
-   * @param receivedAt when each entry daemon was last heard of: one that cannot be heard of says
-   *     nothing about upstreams
+   * @param receivedAt when the last message of each entry daemon was received; a daemon that sends
+   *     no messages cannot report progress, so its requests do not count after that time
    */
   boolean isOverdue(ToLongFunction<DaemonId> receivedAt) {
     return awaited.values().stream()
--- a/core/src/main/java/org/marjoramsail/core/placement/RecentLocalPrefills.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/RecentLocalPrefills.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** The prompts that a decode upstream has read of late, beside the answers that it gave. */
+/** Prompts that a decode upstream recently prefilled concurrently with its generation. */
 final class RecentLocalPrefills {
 
   private static final int MAXIMUM_ENTRIES = 32;
@@ -19,7 +19,10 @@
     }
   }
 
-  /** How long the longest took that ended after a moment; zero where none did. */
+  /**
+   * Returns the duration of the longest prefill that ended after the given time; zero if there is
+   * none.
+   */
   double longestMillisAfter(long sinceMillis) {
     return prefills.stream()
         .filter(prefill -> prefill.endedAt() > sinceMillis)
--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -497,7 +497,8 @@
     WaitingAttempt attempt = granting.attempt();
     PlacementRequest request = attempt.request();
     waiting.remove(request.request());
-    int readTokens = granting.choice().prefill().isPresent() ? granting.choice().uncachedTokens() : 0;
+    int readTokens =
+        granting.choice().prefill().isPresent() ? granting.choice().uncachedTokens() : 0;
     queue.granted(attempt, cost(request, granting.choice()), readTokens, nowMillis);
     count(PlacementCounter.GRANTED);
     if (granting.choice().mode() == GrantMode.LOCAL_PREFILL) {
@@ -532,7 +533,10 @@
       failed.ifPresent(upstream -> fault(upstream, result, nowMillis));
     }
     if (result == AttemptResult.FULL) {
-      report.failedUpstream().flatMap(upstreams::find).ifPresent(full -> full.refusedAsFull(nowMillis));
+      report
+          .failedUpstream()
+          .flatMap(upstreams::find)
+          .ifPresent(full -> full.refusedAsFull(nowMillis));
     }
     ledger.release(attempt, nowMillis);
     memory.ended(report.request(), report.attempt(), nowMillis);
--- a/core/src/main/java/org/marjoramsail/core/placement/RoleAdvisor.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/RoleAdvisor.java
@@ -67,7 +67,8 @@
       held += writer.slotsFor(estimates.heldTokens());
     }
     double reads = readers.size() / readMillis;
-    double readsBeside = settings.localPrefillWhenBusy() ? reads / settings.localPrefillSlowdown() : 0;
+    double readsBeside =
+        settings.localPrefillWhenBusy() ? reads / settings.localPrefillSlowdown() : 0;
     double ends = held / writers.size() / estimates.generationMillis();
     return new RoleBalance.Rates(reads, readsBeside, ends);
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/SampledPrefixHashes.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/SampledPrefixHashes.java
@@ -4,20 +4,24 @@
 import java.util.List;
 
 /**
- * Which blocks of a prompt a placement message names: blocks 1, 2, 3, 4, 6, 8, 12, 16 and so on.
+ * Selects the block hashes of a prompt that a placement message contains: blocks 1, 2, 3, 4, 6, 8,
+ * 12, 16 and so on.
  *
- * <p>Each hash covers the whole prefix up to its block, so a few of them tell how much of a prompt
- * is cached, at the cost of taking up to a third of it for not cached. A message so grows with the
- * logarithm of its prompt.
+ * <p>Each hash covers the whole prefix up to its block, so a few hashes show how much of a prompt
+ * is cached, with up to a third of the cached prefix not recognised. The size of a message grows
+ * with the logarithm of the prompt length.
  */
 public final class SampledPrefixHashes {
 
-  /** Enough for prompts of 32,768 tokens; what is longer counts as not cached. */
+  /** Covers prompts of 32,768 tokens; tokens beyond that count as uncached. */
   private static final int MAXIMUM_HASHES = 22;
 
   private SampledPrefixHashes() {}
 
-  /** How many leading blocks the mark at a place covers; places count from zero. */
+  /**
+   * Returns how many leading blocks the sampled hash at the given position covers; positions start
+   * at zero.
+   */
   public static int blocks(int position) {
     if (position == 0) {
       return 1;
@@ -26,11 +30,13 @@
     return isPowerOfTwo ? 1 << ((position + 1) / 2) : 3 << (position / 2 - 1);
   }
 
-  /** The hashes of a prompt's marks, the shortest prefix first. */
+  /** Returns the sampled hashes of a prompt, the shortest prefix first. */
   public static List<Long> of(String prompt) {
     List<Long> hashes = PrefixHasher.hashes(prompt, blocks(MAXIMUM_HASHES - 1));
     List<Long> sampledHashes = new ArrayList<>();
-    for (int position = 0; position < MAXIMUM_HASHES && blocks(position) <= hashes.size(); position++) {
+    for (int position = 0;
+        position < MAXIMUM_HASHES && blocks(position) <= hashes.size();
+        position++) {
       sampledHashes.add(hashes.get(blocks(position) - 1));
     }
     return sampledHashes;
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardUpstreams.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardUpstreams.java
@@ -13,13 +13,13 @@
 import org.marjoramsail.core.model.UpstreamName;
 import org.marjoramsail.core.model.UpstreamRole;
 
-/** The upstreams of one shard. */
+/** The upstreams of one shard, with what their owner tracks across them. */
 final class ShardUpstreams {
 
-  /** At most one in that many upstreams of a role is ejected at a time. */
+  /** At most one in this many upstreams of a role is ejected at a time. */
   private static final int EJECTED_DIVISOR = 3;
 
-  /** An upstream serves if it has answered well within that long, and not failed since. */
+  /** An upstream is serving if its last response succeeded within this time, in milliseconds. */
   private static final long SERVING_MILLIS = 2_000;
 
   private final PlacementSettings settings;
@@ -37,7 +37,7 @@
     this.prefillRate = new PrefillRate(settings);
   }
 
-  /** How long plain requests hold their slots. */
+  /** Returns the estimate of how long plain requests hold their slots. */
   PlainOccupancy occupancy() {
     return occupancy;
   }
@@ -51,9 +51,10 @@
   }
 
   /**
-   * Takes newer definitions; what is no longer defined stays until nothing runs on it.
+   * Applies newer definitions; an upstream that is no longer defined stays until no request runs on
+   * it.
    *
-   * @return the upstreams that have started again since the definitions before
+   * @return the upstreams that have restarted since the previous definitions
    */
   List<UpstreamName> define(List<UpstreamDefinition> definitions, long nowMillis) {
     List<UpstreamName> restarted = new ArrayList<>();
@@ -63,7 +64,8 @@
       UpstreamState state =
           byName.computeIfAbsent(
               definition.name(),
-              name -> new UpstreamState(definition, settings, outputLengths, prefillRate, occupancy));
+              name ->
+                  new UpstreamState(definition, settings, outputLengths, prefillRate, occupancy));
       state.limit().fleetShare(fleetShare);
       if (state.define(definition, nowMillis)) {
         restarted.add(definition.name());
@@ -76,23 +78,26 @@
     return restarted;
   }
 
-  /** Sets which part of the daemons the owner of these upstreams sees. */
+  /** Sets the share of the daemons that are connected to the owner of these upstreams. */
   void fleetShare(double share) {
     fleetShare = share;
     all.forEach(upstream -> upstream.limit().fleetShare(share));
   }
 
-  /** Records that an entry daemon was heard of. */
+  /** Records that a message of an entry daemon was received. */
   void messageReceived(DaemonId entry, long nowMillis) {
     receivedAt.put(entry, nowMillis);
   }
 
-  /** Records that an entry daemon is gone. */
+  /** Records that an entry daemon failed. */
   void daemonFailed(DaemonId entry) {
     receivedAt.keySet().removeIf(daemon -> SlotLedger.isRunOf(daemon, entry));
   }
 
-  /** Whether an upstream owes a first sign while another of its role does not. */
+  /**
+   * Returns whether a first output of the upstream is overdue while another upstream of its role
+   * responds.
+   */
   boolean isUnresponsive(UpstreamState upstream, long nowMillis) {
     return isProgressOverdue(upstream)
         && all.stream()
@@ -109,7 +114,7 @@
         .isOverdue(entry -> receivedAt.getOrDefault(entry, Long.MIN_VALUE));
   }
 
-  /** Forgets upstreams that are no longer configured and hold nothing of ours. */
+  /** Removes upstreams that are no longer configured and hold no slots of this owner. */
   void removeUnused() {
     byName.values().removeIf(upstream -> !upstream.isConfigured() && upstream.reserved() == 0);
     all = new ArrayList<>(byName.values());
@@ -122,10 +127,10 @@
   /**
    * Counts a failure, and ejects an upstream that fails too often.
    *
-   * <p>Where all fail together the cause is elsewhere, and ejecting them would leave the rest to
-   * drown: at most a third of a role is out. What is away for other reasons counts as out, else the
-   * last upstream that serves is ejected beside others that are gone, and nothing is served at all.
-   * One that fails every time is ejected all the same while another serves.
+   * <p>At most a third of the upstreams of a role is excluded, since failures of all together have
+   * another cause and ejections would overload the rest. Upstreams that are unusable for other
+   * reasons count as excluded, else the last serving upstream could be ejected. An upstream that
+   * always fails is ejected regardless while another one serves.
    */
   void failed(UpstreamState upstream, long nowMillis) {
     if (!upstream.ejection().failed() || upstream.ejection().isEjected(nowMillis)) {
--- a/core/src/main/java/org/marjoramsail/core/placement/SlotLedger.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/SlotLedger.java
@@ -80,7 +80,8 @@
   }
 
   /** Awaits the first sign: of whoever reads the prompt, or of the target if it is read. */
-  private static void awaitSign(PlacementRequest request, PlacementCandidate choice, long nowMillis) {
+  private static void awaitSign(
+      PlacementRequest request, PlacementCandidate choice, long nowMillis) {
     if (!request.isGeneration()) {
       return;
     }
@@ -119,7 +120,9 @@
     target.ifPresent(upstream -> upstream.reserveMemory(request));
     if (isReading) {
       prefill.ifPresent(upstream -> upstream.adopt(request.alone()));
-      attempt.reader().ifPresent(reader -> reader.startPrefill(attempt.uncachedTokens(), nowMillis));
+      attempt
+          .reader()
+          .ifPresent(reader -> reader.startPrefill(attempt.uncachedTokens(), nowMillis));
     }
     if (known == AttemptPhase.GENERATING) {
       target.ifPresent(upstream -> upstream.generationStarted(request, nowMillis));
@@ -196,7 +199,8 @@
           .target()
           .map(UpstreamState::progressWatchdog)
           .ifPresent(
-              watchdog -> watchdog.awaitProgress(request.request(), request.entry(), expected, nowMillis));
+              watchdog ->
+                  watchdog.awaitProgress(request.request(), request.entry(), expected, nowMillis));
     } else {
       attempt.target().ifPresent(target -> target.progressWatchdog().progressMade(nowMillis));
     }
--- a/core/src/main/java/org/marjoramsail/core/placement/TokenBucket.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/TokenBucket.java
@@ -1,17 +1,18 @@
 package org.marjoramsail.core.placement;
 
 /**
- * Limits a rate; a cost is taken whole once there is any credit, so that large ones pass.
+ * Token bucket whose credit may become negative: a cost is taken whole once there is any credit, so
+ * that large costs pass.
  *
- * <p>Where another owner came before, it begins empty. The limit holds over all owners, and a new
- * one does not know what the one before it let through: a full bucket would grant the burst once
- * more with each change of owner.
+ * <p>After a change of owner the bucket starts empty. The limit applies across owners, and a new
+ * owner does not have the count of the previous one: a full bucket would grant an additional burst
+ * with each change of owner.
  */
 final class TokenBucket {
 
   private static final double MILLIS_PER_SECOND = 1_000;
 
-  /** How long a rate may be saved up where no burst is stated, in seconds. */
+  /** How many seconds of the rate may accumulate if no burst is given. */
   private static final double BURST_SECONDS = 1;
 
   private double perSecond;
@@ -25,12 +26,12 @@
     this.filledAt = filledAt;
   }
 
-  /** Creates a bucket without a limit, which is full when it gets one. */
+  /** Creates a bucket without a limit that is full when a limit is first used. */
   static TokenBucket full() {
     return new TokenBucket(true, 0);
   }
 
-  /** Creates a bucket without a limit, which was empty at some time. */
+  /** Creates a bucket without a limit that was empty at the given time. */
   static TokenBucket emptyAt(long millis) {
     return new TokenBucket(false, millis);
   }
@@ -38,8 +39,8 @@
   /**
    * Sets the limit.
    *
-   * @param newPerSecond the rate; not positive means no limit
-   * @param newBurst how much may be saved up; not positive for what the rate gives in a second
+   * @param newPerSecond the rate; not positive for no limit
+   * @param newBurst the maximum credit; not positive for the credit of one second
    */
   void limit(double newPerSecond, double newBurst) {
     perSecond = newPerSecond;
@@ -57,7 +58,10 @@
     }
   }
 
-  /** How long until it is open to one more cost behind those that wait; zero when it is. */
+  /**
+   * Returns how long until one more cost is admitted after those that wait; zero if it is admitted
+   * now.
+   */
   long waitMillis(double waitingCosts, long nowMillis) {
     if (perSecond <= 0) {
       return 0;
@@ -67,18 +71,18 @@
     return missing < 0 ? 0 : (long) Math.ceil(missing / perSecond * MILLIS_PER_SECOND) + 1;
   }
 
-  /** What could be taken now; negative where more was taken than there was. */
+  /** Returns the present credit; negative if more was taken than there was. */
   double credit(long nowMillis) {
     fill(nowMillis);
     return credit;
   }
 
-  /** How much may be saved up. */
+  /** Returns the maximum credit. */
   double burst() {
     return burst;
   }
 
-  /** Whether less than half of what may be saved up is left. */
+  /** Returns whether less than half of the maximum credit is left. */
   boolean isHalfUsed(long nowMillis) {
     return perSecond > 0 && credit(nowMillis) < burst / 2;
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamRateLimit.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamRateLimit.java
@@ -3,22 +3,22 @@
 import java.util.Optional;
 
 /**
- * How many requests a second an upstream takes, as it said itself, and how many it may get now.
+ * Request rate that an upstream announces, and the credit that is left of it.
  *
- * <p>Guards against an upstream in need that is sent more than it can take: it answers quickly what
- * it answers, so that it looks idle, and falls behind with the rest. The limit is over all hosts,
- * so it holds where places are granted; hosts tell what they heard with whatever they ask of the
- * owner, so that each owner knows it no later than it grants to a host that does.
+ * <p>Guards against overloading an upstream that asks for fewer requests: its quick responses make
+ * it look idle while the others fall behind. The limit applies to all hosts together, so the owner
+ * enforces it where it grants slots. Hosts send the feedback that they received along with their
+ * requests to the owner, so that an owner has it no later than it grants to that host.
  */
 final class UpstreamRateLimit {
 
   /**
-   * An upstream that wants nothing at all gets a request now and then, else nobody would learn that
-   * its need is over.
+   * Lowest rate in effect: an upstream that accepts no requests still gets one occasionally, whose
+   * response can end the limit.
    */
   private static final double MINIMUM_PER_SECOND = 0.25;
 
-  /** How long the rate may be saved up, in seconds: more would come at once as a burst. */
+  /** How many seconds of the rate may accumulate as a burst. */
   private static final double BURST_SECONDS = 0.5;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
@@ -29,29 +29,31 @@
   private long limitStatedAt = NEVER;
   private long limitEndedAt = NEVER;
 
-  /** The one of the next life of the upstream, which has said nothing yet. */
+  /** Returns the limit of the next incarnation of the upstream, which has announced nothing yet. */
   UpstreamRateLimit forNextIncarnation() {
     UpstreamRateLimit next = new UpstreamRateLimit();
     next.fleetShare = fleetShare;
     return next;
   }
 
-  /** The limit, if there is one. */
+  /** Returns the announced limit, if there is one. */
   Optional<Double> perSecond() {
     return perSecond;
   }
 
-  /** Sets which part of the daemons its owner sees: beyond a cut others grant for it as well. */
+  /**
+   * Sets the share of the daemons that are connected to the owner: in a network partition, other
+   * owners grant on the same upstream.
+   */
   void fleetShare(double share) {
     fleetShare = share;
     apply();
   }
 
   /**
-   * Handles a limit that the upstream named in an answer; what is older than what is known is
-   * dropped.
+   * Applies a limit that the upstream announced in a response; outdated ones are ignored.
    *
-   * @return whether there was none before
+   * @return whether there was no limit before
    */
   boolean limitReceived(double newPerSecond, long statedAt, long nowMillis) {
     if (statedAt < limitStatedAt || statedAt < limitEndedAt) {
@@ -68,10 +70,10 @@
   }
 
   /**
-   * Handles an answer that named no limit.
+   * Handles a response that announced no limit.
    *
-   * @param sentAt when its request was granted, which the answer cannot precede
-   * @return whether that ends one
+   * @param sentAt when its request was granted, which precedes the response
+   * @return whether this ended a limit
    */
   boolean limitAbsent(long sentAt, long nowMillis) {
     if (perSecond.isEmpty() || sentAt <= limitStatedAt) {
@@ -82,7 +84,7 @@
     return true;
   }
 
-  /** Whether a request may be sent now. */
+  /** Returns whether a request may be sent now. */
   boolean isOpen(long nowMillis) {
     return perSecond.isEmpty() || tokenBucket.isOpen(nowMillis);
   }
@@ -94,7 +96,7 @@
     }
   }
 
-  /** How many requests a millisecond it lets through. */
+  /** Returns the permitted rate in requests a millisecond. */
   double perMilli() {
     return perSecond.map(UpstreamRateLimit::effectiveRate).orElse(Double.POSITIVE_INFINITY) / 1_000;
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamSelector.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamSelector.java
@@ -7,21 +7,23 @@
 import org.marjoramsail.core.model.UpstreamRole;
 
 /**
- * Finds the upstreams with the earliest predicted first token for one attempt, or says what it
- * lacks. It changes nothing.
+ * Selects the upstreams with the earliest predicted first token for one attempt, or determines the
+ * resource that the attempt lacks. It reserves nothing.
  */
 final class UpstreamSelector {
 
-  /** Tokens of one prefix block. */
+  /** Number of tokens in one prefix block. */
   static final int BLOCK_TOKENS = 16;
 
-  /** A transfer starts only if those before it on its links take less of the KV lifetime. */
+  /** Largest share of the KV lifetime that the transfers ahead on the links may take. */
   private static final double MAXIMUM_LINK_SHARE = 0.5;
 
-  /** A plain upstream of the entry's own zone is preferred until it is that full. */
+  /**
+   * Utilisation up to which a plain upstream in the availability zone of the entry is preferred.
+   */
   private static final double ZONE_PREFERENCE_LIMIT = 0.75;
 
-  /** How much a full upstream counts like later, in milliseconds: it generates more slowly. */
+  /** Penalty of a fully utilised upstream, in milliseconds, because it generates more slowly. */
   private static final double FULL_PENALTY_MILLIS = 20;
 
   private static final long QUICK_WINDOW_MILLIS = 10_000;
@@ -54,12 +56,15 @@
     return request.promptTokens() * kvBytesPerToken;
   }
 
-  /** Notes that there are quick requests, so that slots are kept for more of them. */
+  /** Records that a quick request arrived, so that slots are reserved for further ones. */
   void quickRequestArrived(long nowMillis) {
     quickUntil = nowMillis + QUICK_WINDOW_MILLIS;
   }
 
-  /** Whether a prefill upstream has to read its prompt, as far as can be told at its arrival. */
+  /**
+   * Returns whether a prefill upstream has to prefill the prompt, as far as can be predicted at its
+   * arrival.
+   */
   boolean needsPrefillUpstream(PlacementRequest request, long nowMillis) {
     if (!request.isGeneration() || request.kvHeldBy().isPresent()) {
       return false;
@@ -67,14 +72,18 @@
     for (UpstreamState upstream : upstreams.all()) {
       if (upstream.role() == UpstreamRole.DECODE
           && upstream.isUsable(nowMillis)
-          && upstream.prefillMillis(uncachedTokens(upstream, request)) <= settings.localPrefillMillis()) {
+          && upstream.prefillMillis(uncachedTokens(upstream, request))
+              <= settings.localPrefillMillis()) {
         return false;
       }
     }
     return true;
   }
 
-  /** The least time from a start to its target, on idle upstreams: its first or its last token. */
+  /**
+   * Returns the minimum time on idle upstreams until the first token, or until the last one for a
+   * class that may wait.
+   */
   double minimumMillis(PlacementRequest request, long nowMillis) {
     if (!request.isGeneration()) {
       return 0;
@@ -84,7 +93,8 @@
     for (UpstreamState upstream : upstreams.all()) {
       boolean isPrefillUpstream = upstream.role() == UpstreamRole.PREFILL;
       if (isPrefillUpstream && upstream.isUsable(nowMillis)) {
-        minimum = Math.min(minimum, upstream.prefillMillis(uncachedTokens(upstream, request)) + transfer);
+        minimum =
+            Math.min(minimum, upstream.prefillMillis(uncachedTokens(upstream, request)) + transfer);
       }
     }
     boolean hasLiveKv = request.kvHeldBy().isPresent();
@@ -96,7 +106,7 @@
     return untilFirstToken + generating;
   }
 
-  /** Slots that are free now on upstreams that end a request, for a class of requests. */
+  /** Returns the free slots of the upstreams that generate or respond, for a class of requests. */
   int freeSlots(ServiceClass serviceClass, long nowMillis) {
     int free = 0;
     int slots = 0;
@@ -110,7 +120,10 @@
     return isLimited ? free - (int) (slots * settings.quickHeadroom()) : free;
   }
 
-  /** Whether any upstream takes a prompt to read now. */
+  /**
+   * Returns whether any upstream can start another prefill now; true if no prefill upstream is
+   * usable.
+   */
   boolean hasPrefillCapacity(long nowMillis) {
     boolean isAnyUsable = false;
     for (UpstreamState upstream : upstreams.all()) {
@@ -119,14 +132,19 @@
       }
       boolean isPrefillUpstream = upstream.role() == UpstreamRole.PREFILL;
       isAnyUsable |= isPrefillUpstream;
-      if (isPrefillUpstream ? isOpenForPrefill(upstream, nowMillis) : isOpenForOverflow(upstream, nowMillis)) {
+      if (isPrefillUpstream
+          ? isOpenForPrefill(upstream, nowMillis)
+          : isOpenForOverflow(upstream, nowMillis)) {
         return true;
       }
     }
     return !isAnyUsable;
   }
 
-  /** Chooses for one attempt; what it lacks is noted in it when there is no choice. */
+  /**
+   * Selects upstreams for an attempt; if there are none, records in the attempt which resource is
+   * missing.
+   */
   Optional<PlacementCandidate> select(WaitingAttempt attempt, long nowMillis) {
     PlacementRequest request = attempt.request();
     boolean hasLiveKv = attempt.liveKv(nowMillis).isPresent();
@@ -161,7 +179,8 @@
       }
       double utilisation = upstream.utilisation(nowMillis);
       boolean isSameZone = zone.isPresent() && zone.get().equals(upstream.availabilityZone());
-      double score = isSameZone && utilisation < ZONE_PREFERENCE_LIMIT ? utilisation - 1 : utilisation;
+      double score =
+          isSameZone && utilisation < ZONE_PREFERENCE_LIMIT ? utilisation - 1 : utilisation;
       if (score < bestScore) {
         bestScore = score;
         best = upstream;
@@ -171,7 +190,8 @@
       attempt.missing(missingSlot(request, nowMillis));
       return Optional.empty();
     }
-    return Optional.of(new PlacementCandidate(GrantMode.PLAIN, Optional.empty(), best, false, 0, 0, 0, 0));
+    return Optional.of(
+        new PlacementCandidate(GrantMode.PLAIN, Optional.empty(), best, false, 0, 0, 0, 0));
   }
 
   private Optional<PlacementCandidate> selectForLiveKv(WaitingAttempt attempt, long nowMillis) {
@@ -195,7 +215,8 @@
       attempt.missing(missingSlot(request, nowMillis));
       return Optional.empty();
     }
-    if (localUpstream.prefillMillis(uncachedTokens(localUpstream, request)) <= settings.localPrefillMillis()) {
+    if (localUpstream.prefillMillis(uncachedTokens(localUpstream, request))
+        <= settings.localPrefillMillis()) {
       return Optional.of(localPrefill(localUpstream, request));
     }
     boolean isAnyUsable = false;
@@ -207,15 +228,16 @@
       }
       isAnyUsable = true;
       boolean isOpen = isOpenForPrefill(upstream, nowMillis) && isAllowed(upstream, request);
-      double end = isOpen ? upstream.prefillEnd(uncachedTokens(upstream, request), nowMillis) : earliestEnd;
+      double end =
+          isOpen ? upstream.prefillEnd(uncachedTokens(upstream, request), nowMillis) : earliestEnd;
       if (end < earliestEnd) {
         earliestEnd = end;
         prefillUpstream = upstream;
       }
     }
     if (!isAnyUsable) {
-      // All prefill upstreams are gone: callers would see refusals though decode upstreams can
-      // read prompts themselves. Slower answers are better, and the slots still bound them.
+      // No prefill upstream is usable: decode upstreams prefill the prompts themselves, since a
+      // slower response is better than a refusal. The slots still limit the load.
       return Optional.of(localPrefill(localUpstream, request));
     }
     if (prefillUpstream == null) {
@@ -230,16 +252,17 @@
       attempt.missing(MissingResource.LINK);
       return Optional.empty();
     }
-    return Optional.of(disaggregated(request, prefillUpstream, target, uncachedTokens(prefillUpstream, request), true));
+    return Optional.of(
+        disaggregated(
+            request, prefillUpstream, target, uncachedTokens(prefillUpstream, request), true));
   }
 
   /**
-   * A decode upstream that reads a prompt itself because all prefill upstreams are busy.
+   * Returns a decode upstream that prefills the prompt itself because all prefill upstreams are
+   * busy.
    *
-   * <p>In a burst a pool with one prefill upstream read eleven prompts a second and stood before
-   * decode upstreams with memory for sixteen. All answers of such an upstream pause meanwhile, so
-   * each reads one prompt at a time, and only one that leaves the pause as short as they need it:
-   * prompts of eight thousand tokens, read in this way, made ten streams late each.
+   * <p>All streams of such an upstream pause meanwhile, so each prefills one prompt at a time, and
+   * only a prompt whose pause is within the limit of the request.
    */
   private Optional<PlacementCandidate> localOverflow(PlacementRequest request, long nowMillis) {
     UpstreamState best = null;
@@ -302,7 +325,7 @@
         transferMillis(request, prefillUpstream, target));
   }
 
-  /** The decode upstream that could read the prompt itself soonest. */
+  /** Returns the decode upstream that could prefill the prompt itself soonest. */
   private UpstreamState bestLocal(PlacementRequest request, long nowMillis) {
     UpstreamState best = null;
     double bestScore = Double.POSITIVE_INFINITY;
@@ -322,7 +345,8 @@
     return best;
   }
 
-  private UpstreamState bestDecode(PlacementRequest request, UpstreamState prefillUpstream, long nowMillis) {
+  private UpstreamState bestDecode(
+      PlacementRequest request, UpstreamState prefillUpstream, long nowMillis) {
     UpstreamState best = null;
     double bestScore = Double.POSITIVE_INFINITY;
     for (UpstreamState upstream : upstreams.all()) {
@@ -349,7 +373,8 @@
   }
 
   private double linkQueueMillis(UpstreamState prefillUpstream, UpstreamState target) {
-    return Math.max(prefillUpstream.linkBytes(), target.linkBytes()) / estimates.linkBytesPerMilli();
+    return Math.max(prefillUpstream.linkBytes(), target.linkBytes())
+        / estimates.linkBytesPerMilli();
   }
 
   private double maximumLinkQueueMillis() {
@@ -370,18 +395,21 @@
     return upstream.hasMemoryFor(request, nowMillis, estimates.decodeMillisPerToken());
   }
 
-  /** Failed attempts are not repeated where they failed, nor two suspects put side by side. */
+  /**
+   * Returns whether the upstream may take the request: an attempt is not repeated where it failed,
+   * and two requests that must run alone do not share an upstream.
+   */
   private static boolean isAllowed(UpstreamState upstream, PlacementRequest request) {
     return !(request.alone() && upstream.holdsSuspect())
         && !request.avoid().contains(upstream.name());
   }
 
   /**
-   * Free slots, as far as this owner may trust its own books.
+   * Returns the free slots of an upstream, or zero while its load is unknown to a new owner.
    *
-   * <p>A new owner does not know what the one before granted; would it grant at once, engines would
-   * get up to twice what they hold. Until the entry daemons had time to register again, only slots
-   * that a report since the change shows to be free are granted.
+   * <p>A new owner does not have the grants of the previous one, so granting at once could give
+   * engines up to twice the requests that they hold. Until the entry daemons had time to register
+   * again, only slots that a report since the change shows to be free are granted.
    */
   private int freeSlotsOf(UpstreamState upstream, long nowMillis) {
     boolean isLoadKnown = nowMillis >= settledAt || upstream.hasReportedSince(takenOverAt);
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
@@ -7,12 +7,12 @@
 import org.marjoramsail.core.model.UpstreamName;
 import org.marjoramsail.core.model.UpstreamRole;
 
-/** What the owner of a shard knows of one upstream: slots, queues, estimates and health. */
+/** Load, estimates and health of one upstream, as the owner of its shard tracks them. */
 final class UpstreamState {
 
   private static final long REFUSAL_PAUSE_MILLIS = 2_000;
 
-  /** An upstream that was full when this owner thought otherwise is left alone that long. */
+  /** How long an upstream gets no new request after it refused one as full, in milliseconds. */
   private static final long FULL_PAUSE_MILLIS = 60;
 
   private static final long REPORT_STALE_MILLIS = 10_000;
@@ -59,11 +59,11 @@
   private long linkBytes;
 
   /**
-   * Starts with nothing on it.
+   * Creates the state of an upstream that holds no request.
    *
-   * @param outputLengths how far answers of its shard lie from what was foretold
-   * @param prefillRate how fast prefill upstreams of its shard read
-   * @param occupancy how long plain requests of its shard hold their slots
+   * @param outputLengths the output lengths of the shard relative to their predictions
+   * @param prefillRate the rate of the prefill upstreams of the shard
+   * @param occupancy how long plain requests of the shard hold their slots
    */
   UpstreamState(
       UpstreamDefinition definition,
@@ -100,7 +100,7 @@
     return prefixes;
   }
 
-  /** The requests that wait for their first sign here. */
+  /** Returns the watchdog of the requests whose first output from this upstream is pending. */
   ProgressWatchdog progressWatchdog() {
     return progressWatchdog;
   }
@@ -126,9 +126,9 @@
   }
 
   /**
-   * Handles a newer definition; a changed role in it counts until the engine reports its own.
+   * Applies a newer definition. A role that changed in it applies until the engine reports its own.
    *
-   * @return whether it is of a later life of the upstream
+   * @return whether the definition belongs to a later incarnation of the upstream
    */
   boolean define(UpstreamDefinition newer, long nowMillis) {
     boolean restarted = newer.incarnation().supersedes(definition.incarnation());
@@ -143,7 +143,9 @@
     return restarted;
   }
 
-  /** What was seen of a life that is over says nothing of the next: it begins with nothing. */
+  /**
+   * Discards what was observed of the previous incarnation, which does not apply to the new one.
+   */
   private void resetForNextIncarnation(long nowMillis) {
     prefixes.clear();
     busyUntil = nowMillis;
@@ -157,15 +159,15 @@
     ejection.startSlowly(nowMillis);
   }
 
-  /** How many requests a second it said that it takes, and how many it may get now. */
+  /** Returns the request rate that the upstream announced, and the credit that is left of it. */
   UpstreamRateLimit limit() {
     return limit;
   }
 
   /**
-   * Handles what it said of itself to a host.
+   * Applies feedback that the upstream gave to a host.
    *
-   * @return whether something is believed of it now that was not
+   * @return whether the feedback announces leaving or a rate limit for the first time
    */
   boolean acceptFeedback(RelayedFeedback feedback, long nowMillis) {
     if (definition.incarnation().isOtherThan(feedback.startedAtMillis())) {
@@ -182,7 +184,9 @@
     return isNew;
   }
 
-  /** The configuration no longer has it; it is forgotten once nothing runs on it. */
+  /**
+   * Marks the upstream as removed from the configuration; it is dropped once no request runs on it.
+   */
   void undefine() {
     configured = false;
   }
@@ -194,17 +198,22 @@
     listedUnavailable = !available;
   }
 
-  /** The upstream itself refused new work: it gets none until reports had time to say why. */
+  /**
+   * Stops new work for a short time after the upstream refused a request, until reports can show
+   * why.
+   */
   void refused(long nowMillis) {
     refusedUntil = nowMillis + REFUSAL_PAUSE_MILLIS;
   }
 
-  /** Whether it said itself that it leaves, which ends with its life alone. */
+  /** Returns whether the upstream itself announced that it leaves; this holds until it restarts. */
   boolean isAnnouncedLeaving() {
     return announcedLeaving;
   }
 
-  /** Whether it takes no new work, however that was learned. */
+  /**
+   * Returns whether the upstream takes no new work, by its definition, its reports or its feedback.
+   */
   boolean isLeaving() {
     return definition.drained() || reportedLeaving || announcedLeaving;
   }
@@ -217,17 +226,26 @@
         && !ejection.isEjected(nowMillis);
   }
 
-  /** Whether it takes work and its last answer was a good one. */
+  /**
+   * Returns whether the upstream is usable and its last response succeeded, not before the given
+   * time.
+   */
   boolean isServingSince(long sinceMillis, long nowMillis) {
     return isUsable(nowMillis) && ejection.isServingSince(sinceMillis);
   }
 
-  /** The upstream had no room: others use it too, or it held more than was known here. */
+  /**
+   * Stops new work for a moment after the upstream refused a request because it was full. Other
+   * owners may use it too, or it held more requests than this owner had counted.
+   */
   void refusedAsFull(long nowMillis) {
     refusedUntil = Math.max(refusedUntil, nowMillis + FULL_PAUSE_MILLIS);
   }
 
-  /** Whether a request fits into the memory beside all others, to their ends; true if unknown. */
+  /**
+   * Returns whether the memory suffices for the request and all others until they end; true if the
+   * memory size is unknown.
+   */
   boolean hasMemoryFor(PlacementRequest request, long nowMillis, double millisPerToken) {
     int memory = definition.memoryTokens().orElse(UNKNOWN_MEMORY);
     return memory == UNKNOWN_MEMORY
@@ -236,24 +254,24 @@
             <= memory;
   }
 
-  /** Takes memory for a request from its grant to its end. */
+  /** Reserves memory for a request from its grant to its end. */
   void reserveMemory(PlacementRequest request) {
     reservedTokens += request.memoryTokens();
     memoryForecast.add(request.request(), request.promptTokens(), request.outputTokens());
   }
 
-  /** Records that a request has begun to grow. */
+  /** Records that a request generates output from now on, so that its memory grows. */
   void generationStarted(PlacementRequest request, long nowMillis) {
     memoryForecast.generationStarted(request.request(), nowMillis);
   }
 
-  /** Gives memory back. */
+  /** Releases the memory of a request. */
   void releaseMemory(PlacementRequest request) {
     reservedTokens -= request.memoryTokens();
     memoryForecast.remove(request.request());
   }
 
-  /** How many requests of a size it holds at once, by its slots and its memory. */
+  /** Returns how many requests of the given size fit at once, by slots and memory. */
   int slotsFor(double tokens) {
     int memory = definition.memoryTokens().orElse(UNKNOWN_MEMORY);
     if (memory == UNKNOWN_MEMORY || tokens <= 0) {
@@ -262,7 +280,7 @@
     return Math.max(1, (int) Math.min(slots(), memory / tokens));
   }
 
-  /** The state in one word for operators. */
+  /** Returns the state as one word for operators. */
   String stateCode(long nowMillis) {
     if (!configured || definition.drained()) {
       return "drained";
@@ -283,22 +301,26 @@
   }
 
   /**
-   * How many requests of a size it ends in a millisecond at most.
+   * Returns the highest rate, in requests a millisecond, at which requests of the given size can
+   * complete.
    *
-   * @param holdMillis how long one holds a slot
+   * @param holdMillis how long one request holds a slot
    */
   double requestsPerMilli(double tokens, double holdMillis) {
     return Math.min(slotsFor(tokens) / holdMillis, limit.perMilli());
   }
 
-  /** How many requests it holds at most; an engine may say less than its definition. */
+  /**
+   * Returns the number of slots: the lower of the defined and the reported number. Plain upstreams
+   * get extra slots for the time that requests spend on the way.
+   */
   int slots() {
     int configuredSlots = definition.slots();
-    int reportedOrConfigured = reportedSlots > 0 ? Math.min(configuredSlots, reportedSlots) : configuredSlots;
-    return role == UpstreamRole.PLAIN ? (int) (reportedOrConfigured * occupancy.factor()) : reportedOrConfigured;
+    int slots = reportedSlots > 0 ? Math.min(configuredSlots, reportedSlots) : configuredSlots;
+    return role == UpstreamRole.PLAIN ? (int) (slots * occupancy.factor()) : slots;
   }
 
-  /** Slots that this owner may still reserve now; never negative. */
+  /** Returns how many slots this owner may still reserve now; never negative. */
   int freeSlots(long nowMillis) {
     if (!limit.isOpen(nowMillis)) {
       return 0;
@@ -325,7 +347,7 @@
     return suspects > 0;
   }
 
-  /** Reserves a slot for a request that will be sent to it. */
+  /** Reserves a slot for a request that will be sent to the upstream. */
   void reserve(boolean alone, long nowMillis) {
     limit.granted(nowMillis);
     reserveSlot(alone);
@@ -349,9 +371,10 @@
   }
 
   /**
-   * Another owner's attempt became ours: it was part of the reported load until now.
+   * Reserves a slot for an attempt that another owner granted and this owner took over.
    *
-   * <p>Without this it would count twice until the next report and hold back grants.
+   * <p>The attempt is removed from the reported load of other owners, else it counts twice until
+   * the next report and blocks grants.
    */
   void adopt(boolean alone) {
     reserveSlot(alone);
@@ -359,12 +382,12 @@
   }
 
   /**
-   * Handles a load report.
+   * Applies a load report.
    *
-   * <p>A report is late: attempts that ended since it was made may still be in it, and attempts
-   * granted since are not. Were it taken at its word, a slot would be freed while it is in use, and
-   * the engine would get more than it holds. So it only ever adds load: what it shows beyond all of
-   * ours that it can have counted belongs to others.
+   * <p>A report is delayed: it may include attempts that have ended since, and omit attempts
+   * granted since. Freeing slots by it could grant more requests than the engine holds, so a report
+   * only adds load: what exceeds the attempts of this owner that it can include is attributed to
+   * other owners.
    */
   void report(LoadReport report, long nowMillis) {
     if (report.incarnation() < incarnation) {
@@ -390,7 +413,7 @@
     reportedAt = nowMillis;
   }
 
-  /** When it would have read all it was given and that many tokens more. */
+  /** Returns when the upstream would have prefilled its queue and the given number of tokens. */
   double prefillEnd(int tokens, long nowMillis) {
     return nowMillis + queueMillis(nowMillis) + prefillMillis(tokens);
   }
@@ -399,13 +422,18 @@
     return overheadMillis.value() + tokens * millisPerToken();
   }
 
-  /** How long a token of a prompt takes in the present role: beside answers, or alone. */
+  /**
+   * Returns the prefill time of a token in the present role: on a decode upstream, prefill runs
+   * concurrently with generation.
+   */
   private double millisPerToken() {
     MovingAverage observed = observedMillisPerToken();
     if (observed.hasObservations()) {
       return observed.value();
     }
-    return role == UpstreamRole.DECODE ? prefillRate.localMillisPerToken() : prefillRate.dedicatedMillisPerToken();
+    return role == UpstreamRole.DECODE
+        ? prefillRate.localMillisPerToken()
+        : prefillRate.dedicatedMillisPerToken();
   }
 
   private MovingAverage observedMillisPerToken() {
@@ -426,7 +454,10 @@
     queuedTokens += tokens;
   }
 
-  /** A prefill ended, read or not: what is still queued tells when the upstream is free. */
+  /**
+   * Records that a prefill ended, whether or not it succeeded, and recomputes from the remaining
+   * queue when the upstream is free.
+   */
   void endPrefill(int tokens, long nowMillis) {
     if (role == UpstreamRole.DECODE) {
       recentLocalPrefills.add(prefillMillis(tokens), nowMillis);
@@ -437,10 +468,10 @@
   }
 
   /**
-   * Learns from a prefill that has just ended.
+   * Updates the prefill estimates from a prefill that has just ended.
    *
-   * @param tookMillis from its send; what went by before the prefill ahead of it ended was spent on
-   *     that one, else readers look slower the busier they are
+   * @param tookMillis time since the request was sent; the part before the previous prefill ended
+   *     is not counted, else a busy upstream appears slower than it is
    */
   void learnPrefill(int tokens, long tookMillis, long nowMillis) {
     learnPrefill(tokens, (double) Math.max(1, Math.min(tookMillis, nowMillis - prefillEndedAt)));
@@ -458,12 +489,12 @@
     }
   }
 
-  /** The prompts that it has read beside answers. */
+  /** Returns the prefills that this decode upstream recently ran concurrently with generation. */
   RecentLocalPrefills recentLocalPrefills() {
     return recentLocalPrefills;
   }
 
-  /** Whether it has ended reading a prompt less than that long ago. */
+  /** Returns whether a prefill ended on the upstream less than the given time ago. */
   boolean hasPrefilledWithin(double millis, long nowMillis) {
     return nowMillis - prefillEndedAt < millis;
   }
--- a/core/src/test/java/org/marjoramsail/core/placement/AnnouncedLeavingTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/AnnouncedLeavingTest.java
@@ -18,18 +18,15 @@
 import org.marjoramsail.core.placement.HostsBeforeUpstreams.Way;
 
 /**
- * The store was away when an upstream began to leave, so that its entry did not say so; its answers
- * did. A host that had passed such an answer on sent it a ballot 2.9 seconds later. Had it ended by
- * then, the ballot would have been cut off. Only the list told who leaves: all hosts had logged
- * "list of upstreams cannot be read" half a second before, and none wrote of the upstream until the
- * list could be read again, 13 seconds later.
+ * Guards against sending requests to an upstream that announces leaving in its responses while the
+ * stored list of upstreams cannot be read and does not show it.
  */
 class AnnouncedLeavingTest {
 
   private static final long LEAVING_FROM_MILLIS = 4_000;
   private static final long DURATION_MILLIS = 14_000;
 
-  /** How long after its word an upstream may still get work of a host that passed it on. */
+  /** How long an upstream may get new work from a host after the host received its announcement. */
   private static final long DRAIN_MILLIS = 2_000;
 
   private static final UpstreamFeedback LEAVING =
@@ -46,7 +43,7 @@
     assertThat(lateArrivals(fleet)).isEmpty();
   }
 
-  /** Owners die one after the other; none of them was told what the ones before it were. */
+  /** Owners fail one after the other; a new owner has received no feedback of the previous ones. */
   @Property(seed = "20261203", tries = 12)
   void itGetsNoNewWorkWhenOwnersFail(@ForAll @LongRange(min = 1) long seed) {
     HostsBeforeUpstreams fleet = fleet(7, 3, 1, seed);
@@ -61,7 +58,7 @@
     assertThat(lateArrivals(fleet)).isEmpty();
   }
 
-  /** Hosts cannot reach each other; each keeps to what it was told itself. */
+  /** Hosts cannot reach each other; each one uses the feedback that it received itself. */
   @Test
   void itGetsNoNewWorkFromIsolatedHosts() {
     HostsBeforeUpstreams fleet = fleet(3, 3, 1, 1);
@@ -73,7 +70,7 @@
     assertThat(lateArrivals(fleet)).isEmpty();
   }
 
-  /** One that was seen to leave and then says nothing of it any more is ending all the same. */
+  /** An announcement holds until the upstream restarts, even if later responses omit it. */
   @Test
   void itGetsNoNewWorkAfterItsResponsesStopAnnouncingIt() {
     HostsBeforeUpstreams fleet = new HostsBeforeUpstreams(7, 3, 6, 86, 1, Way.AT_THE_OWNER);
@@ -90,7 +87,7 @@
     assertThat(lateArrivals(fleet)).isEmpty();
   }
 
-  /** With all of a service leaving a caller is told at once, and when to come back. */
+  /** If all upstreams of a service leave, requests are refused immediately with a time to retry. */
   @Test
   void requestsAreRefusedImmediatelyWhenAllUpstreamsLeave() {
     HostsBeforeUpstreams fleet = fleet(7, 3, 3, 1);
@@ -119,7 +116,7 @@
     return fleet;
   }
 
-  /** Requests that came too long after their host had passed on that the upstream leaves. */
+  /** Returns the requests that arrived too long after their host had received the announcement. */
   private static List<Arrival> lateArrivals(HostsBeforeUpstreams fleet) {
     return fleet.arrivals().stream()
         .filter(
--- a/core/src/test/java/org/marjoramsail/core/placement/LocalPrefillOverflowTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/LocalPrefillOverflowTest.java
@@ -12,12 +12,12 @@
 import org.marjoramsail.core.model.Pieces;
 
 /**
- * In each burst streams waited for seconds though decode upstreams had memory for half as many
- * again: the one prefill upstream read eleven prompts a second, and fifteen came.
+ * Guards against prompts that wait for a busy prefill upstream while decode upstreams have free
+ * memory.
  */
 class LocalPrefillOverflowTest {
 
-  /** Eleven tokens, as the first guess of their pace has it. */
+  /** Time of a chunk of eleven tokens, by the initial estimate of the generation rate. */
   private static final long CHUNK_MILLIS = 50;
 
   private final ReservingPlacer placer = shortLivedPlacer(pool(1, 2, 16));
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Each lookup of a long report was read by an engine that answered ten others, and all ten paused
-   * for longer than their callers accept: no error, no refusal, ten late answers for one.
+   * Guards against a long local prefill that pauses all streams of a decode upstream for longer
+   * than allowed.
    */
   @Test
   void aLocalPrefillIsLimitedByTheLongestPauseThatStreamsAllow() {
@@ -67,7 +67,7 @@
     assertThat(place("r1").mode()).isEqualTo(GrantMode.DISAGGREGATED);
   }
 
-  /** The first prompt is read at once, and the second waits behind it. */
+  /** Places a long prompt on the prefill upstream, so that the next prompt has to wait for it. */
   private void fillPrefillUpstream() {
     Grant first = onlyGrant(placer.place(request("first").tokens(20_000, 100).build(), 0));
     assertThat(first.mode()).isEqualTo(GrantMode.DISAGGREGATED);
--- a/core/src/test/java/org/marjoramsail/core/placement/LocalPrefillUnderLoadTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/LocalPrefillUnderLoadTest.java
@@ -18,10 +18,8 @@
 import org.marjoramsail.core.model.ServiceClass;
 
 /**
- * At the peak of a burst streams waited for seconds for prefill upstreams, while decode upstreams
- * stood at a third of their memory. These could have read prompts beside their answers, but were
- * guessed to read half as fast as they do, so that no pause allowed it, and never read one by which
- * the guess could have been mended.
+ * Guards against an initial estimate of local prefill that is too slow, by which decode upstreams
+ * never prefill a prompt and so never correct the estimate while prompts wait.
  */
 class LocalPrefillUnderLoadTest {
 
@@ -31,10 +29,10 @@
   private static final double FIXED_MILLIS = 30;
   private static final long GENERATING_MILLIS = 300;
 
-  /** What is offered, of what the prefill upstreams alone can read. */
+  /** Offered load relative to the capacity of the prefill upstreams alone. */
   private static final double OFFERED_SHARE = 1.3;
 
-  /** What a busy host takes to send on what it was told, in milliseconds. */
+  /** Maximum delay of a report on a busy host, in milliseconds. */
   private static final int MAXIMUM_REPORT_DELAY_MILLIS = 120;
 
   private static final long TICK_MILLIS = 5;
@@ -42,7 +40,8 @@
   private static final long WARM_UP_MILLIS = 8_000;
   private static final long TARGET_MILLIS = 900;
 
-  private final ReservingPlacer placer = shortLivedPlacer(poolWithMemory(PREFILL_UPSTREAMS, 8, 16, 42_000));
+  private final ReservingPlacer placer =
+      shortLivedPlacer(poolWithMemory(PREFILL_UPSTREAMS, 8, 16, 42_000));
   private final VirtualEvents events = new VirtualEvents();
   private final Map<String, Double> freeAt = new HashMap<>();
   private final Map<RequestId, Long> arrivedAt = new HashMap<>();
@@ -106,10 +105,12 @@
     long sentAt = events.now();
     long reportedAt = (long) prefilledAt + random.nextInt(MAXIMUM_REPORT_DELAY_MILLIS);
     if (!isLocal) {
-      events.at(reportedAt, () -> report(grant, AttemptPhase.PREFILLED, reportedAt - sentAt, random));
+      events.at(
+          reportedAt, () -> report(grant, AttemptPhase.PREFILLED, reportedAt - sentAt, random));
     }
     events.at(reportedAt + 40, () -> report(grant, AttemptPhase.GENERATING, 0, random));
-    events.at(reportedAt + 40 + GENERATING_MILLIS, () -> report(grant, AttemptPhase.ENDED, 0, random));
+    events.at(
+        reportedAt + 40 + GENERATING_MILLIS, () -> report(grant, AttemptPhase.ENDED, 0, random));
   }
 
   private void report(Grant grant, AttemptPhase phase, long tookMillis, Random random) {
--- a/core/src/test/java/org/marjoramsail/core/placement/MemoryForecastTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/MemoryForecastTest.java
@@ -6,9 +6,8 @@
 import org.marjoramsail.core.model.RequestId;
 
 /**
- * At the peak of a vote, decode upstreams were given requests by their length now; eight grew
- * together past the memory, one was preempted, and its prompt of thousands of tokens was read
- * again. Counted with their full lengths instead, they left a tenth of the memory idle.
+ * Guards against granting requests by their present lengths, which then outgrow the memory and are
+ * preempted, and by their full lengths, which leave memory idle.
  */
 class MemoryForecastTest {
 
@@ -32,7 +31,7 @@
   void aRequestThatEndsSoonFreesMemoryForTheNext() {
     add("a", 0);
 
-    // It has 100 tokens left, so the new one holds 3,100 when it ends and 3,800 in the end.
+    // The first request has 100 tokens left: the new one occupies 3,100 when it ends, 3,800 later.
     double peak = forecast.peakTokensWith(3_000, 800, 700 * 5, MILLIS_PER_TOKEN);
 
     assertThat(peak).isBetween(3_000 + 3_700.0 + 2 * 100, 3_000 + 3_700.0 + 2 * 120 + 1);
--- a/core/src/test/java/org/marjoramsail/core/placement/MovingAverageTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/MovingAverageTest.java
@@ -8,9 +8,8 @@
 class MovingAverageTest {
 
   /**
-   * After all daemons were killed in a burst, the new owner guessed that a slot is held for a
-   * second, where it is held for a twelfth of one. Forty answers later it still refused most
-   * lookups for waits that did not exist.
+   * Guards against an initial value that is far too large and outweighs the samples for too long,
+   * so that requests are refused for waits that do not exist.
    */
   @Test
   void anInitialValueThatIsTenTimesTooLargeIsOutweighedByTwelveSamples() {
--- a/core/src/test/java/org/marjoramsail/core/placement/PauseShareTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PauseShareTest.java
@@ -7,9 +7,8 @@
 import org.marjoramsail.core.model.Pieces;
 
 /**
- * Engines that read a prompt in small parts between the tokens of other answers let them wait for
- * hardly more than usual; others let them wait for the whole prompt. One bound for both kept the
- * first kind idle in a burst, or made ten answers late at a time on the second.
+ * Guards against one limit of local prefill for all engines: those that prefill in small chunks
+ * pause their streams for a part of the time only, others for all of it.
  */
 class PauseShareTest {
 
@@ -34,7 +33,7 @@
     assertThat(estimates.localPrefillMillisWithinPause(request)).isBetween(180.0, 230.0);
   }
 
-  /** A stream was preempted for a second; that says nothing about reading. */
+  /** A pause with another cause, such as a preemption, is no measure of local prefill. */
   @Test
   void aPauseThatThePrefillDoesNotExplainIsIgnored() {
     learn(1);
--- a/core/src/test/java/org/marjoramsail/core/placement/PlainOccupancyTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PlainOccupancyTest.java
@@ -17,9 +17,8 @@
 import org.marjoramsail.core.model.RequestId;
 
 /**
- * Lookups waited for slots while the servers of their service worked on a third of what they can.
- * Small entry hosts took as long to send a request and to tell of its answer as a server took for
- * it, and its slot was held all the while.
+ * Guards against idle upstreams: slow entry hosts hold a slot for longer than the upstream works on
+ * the request, so requests wait although the upstream has capacity.
  */
 class PlainOccupancyTest {
 
@@ -68,7 +67,7 @@
     assertThat((double) withinTarget / requested).isGreaterThan(0.9);
   }
 
-  /** A service whose answers are told at once gets no more than its slots. */
+  /** Without delays on the entry hosts, a service gets no more than its slots. */
   @Test
   void withoutDelaysNoMoreThanTheSlotsAreGranted() {
     PlainOccupancy occupancy = new PlainOccupancy();
@@ -115,7 +114,8 @@
     boolean isWithinTarget = events.now() - arrivedAt.get(grant.request()) <= TARGET_MILLIS;
     withinTarget += isWithinTarget && arrivedAt.get(grant.request()) > WARM_UP_MILLIS ? 1 : 0;
     long responseMillis = events.now() - sentAt;
-    events.at(events.now() + random.nextInt(SLOWEST_HOST_MILLIS), () -> ended(grant, responseMillis));
+    events.at(
+        events.now() + random.nextInt(SLOWEST_HOST_MILLIS), () -> ended(grant, responseMillis));
   }
 
   private void ended(Grant grant, long responseMillis) {
--- a/core/src/test/java/org/marjoramsail/core/placement/RequestedPauseTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/RequestedPauseTest.java
@@ -13,8 +13,8 @@
 import org.marjoramsail.core.placement.HostsBeforeUpstreams.Way;
 
 /**
- * An upstream turned requests away and said to each host for how long it wants nothing of it. Hosts
- * left it alone for 60 ms and came again: a 503 was read as "full" whatever time it named.
+ * Guards against hosts that retry an upstream after a fixed short time although its 503 response
+ * requests a longer pause.
  */
 class RequestedPauseTest {
 
@@ -22,7 +22,7 @@
   private static final long DURATION_MILLIS = 14_000;
   private static final long PAUSE_MILLIS = 3_000;
 
-  /** How long a host may take to act on what it was told. */
+  /** How long a host may take to apply a pause after it received it. */
   private static final long REACTION_MILLIS = 500;
 
   private static final int ALLOWED_REQUESTS = 2;
@@ -32,8 +32,7 @@
 
   @ParameterizedTest
   @CsvSource({"7, 3, 1, 1", "7, 3, 2, 2", "77, 12, 3, 1"})
-  void aHostSendsNothingDuringTheRequestedPause(
-      int hosts, int upstreams, int pausing, long seed) {
+  void aHostSendsNothingDuringTheRequestedPause(int hosts, int upstreams, int pausing, long seed) {
     HostsBeforeUpstreams fleet = fleet(hosts, upstreams, pausing, seed);
 
     fleet.run(DURATION_MILLIS);
@@ -41,7 +40,7 @@
     assertPausesHold(fleet);
   }
 
-  /** With a pause asked for everywhere a caller is told at once, and comes back after it. */
+  /** If all upstreams request a pause, requests are refused immediately with a time to retry. */
   @Test
   void requestsAreRefusedImmediatelyWhileAllUpstreamsPause() {
     HostsBeforeUpstreams fleet = fleet(2, 3, 3, 1);
--- a/core/src/test/java/org/marjoramsail/core/placement/RestoredMemoryTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/RestoredMemoryTest.java
@@ -24,9 +24,8 @@
           4);
 
   /**
-   * After a change of the owner, an engine stood half empty until the streams of before had ended.
-   * The new owner took them for streams that had not begun: each was to grow by its whole answer
-   * for as long as it lived, and nothing was let in beside it.
+   * Guards against a new owner that treats restored streams as not started, expects their full
+   * length until they end, and grants nothing concurrently with them.
    */
   @Test
   void aStreamThatGeneratesAtATakeoverFreesItsMemoryAsPredicted() {
@@ -38,7 +37,9 @@
     ReservingPlacer notGenerating = placer(false);
     notGenerating.place(existing(), 0);
 
-    assertThat(tokensUntilGrant(takenOver)).isEqualTo(tokensUntilGrant(original)).isBetween(301, 999);
+    assertThat(tokensUntilGrant(takenOver))
+        .isEqualTo(tokensUntilGrant(original))
+        .isBetween(301, 999);
     assertThat(tokensUntilGrant(notGenerating)).isEqualTo(NEVER);
   }
 
@@ -55,7 +56,10 @@
     return request("old").tokens(3_000, 800).build();
   }
 
-  /** After how many tokens of the stream the next request finds room; in steps of ten. */
+  /**
+   * Returns after how many tokens of the existing stream the next request is granted, in steps of
+   * ten.
+   */
   private static int tokensUntilGrant(ReservingPlacer placer) {
     placer.place(request("next").tokens(3_000, 800).build(), 1);
     for (int tokens = 10; tokens <= 2_000; tokens += 10) {
--- a/core/src/test/java/org/marjoramsail/core/placement/SaturatedMemoryTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/SaturatedMemoryTest.java
@@ -10,19 +10,17 @@
 import org.marjoramsail.core.model.RequestId;
 
 /**
- * At the peak of a campaign every engine had more to do than fitted, and answers were half or twice
- * as long as foretold. Engines were handed requests until their means filled the memory: one stream
- * in six was preempted in the middle, came late, and had its prompt read again.
+ * Guards against frequent preemptions on saturated engines whose output lengths differ from the
+ * predictions.
  *
- * <p>Replays one engine that always has a next request, with lengths drawn anew, for engines of
- * several sizes and answers of several lengths.
+ * <p>Simulates one engine with a constant backlog, for several engine sizes and output lengths.
  */
 class SaturatedMemoryTest {
 
   private static final int STREAMS = 600;
   private static final double MILLIS_PER_TOKEN = 1;
 
-  /** What a preempted stream costs, in streams that end in time. */
+  /** Cost of a preempted stream, in completed streams. */
   private static final double PREEMPTION_COST = 2.5;
 
   private static final class Stream {
@@ -51,7 +49,7 @@
   }
 
   private record Outcome(double completed, double preempted) {
-    /** Streams that end in time for each slot of time, less what preempted ones cost. */
+    /** Returns the completed streams in the time of one output, less the cost of preemptions. */
     double value() {
       return completed - PREEMPTION_COST * preempted;
     }
@@ -92,7 +90,8 @@
     while (ended < STREAMS) {
       while (running.size() < slots
           && (running.isEmpty()
-              || forecast.peakTokensWith(next.prompt, next.predicted, now, MILLIS_PER_TOKEN) <= memory)) {
+              || forecast.peakTokensWith(next.prompt, next.predicted, now, MILLIS_PER_TOKEN)
+                  <= memory)) {
         forecast.add(next.id, next.prompt, next.predicted);
         forecast.generationStarted(next.id, now);
         running.add(next);
--- a/core/src/test/java/org/marjoramsail/core/placement/SlotCountingPlacer.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/SlotCountingPlacer.java
@@ -10,7 +10,10 @@
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.model.UpstreamName;
 
-/** A placer with one upstream and a number of slots, first come first served. */
+/**
+ * Placer with a single upstream and a fixed number of slots that serves requests in order of
+ * arrival.
+ */
 final class SlotCountingPlacer implements Placer {
 
   private final int slots;
--- a/core/src/test/java/org/marjoramsail/core/placement/UnresponsiveUpstreamTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/UnresponsiveUpstreamTest.java
@@ -13,8 +13,8 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * Two engines lost their power and closed no connection. Summaries that may run only once were sent
- * to them for seconds, until each of their slots held one, and all of these were lost.
+ * Guards against sending requests that may run only once to an engine that stopped responding
+ * without closing its connections.
  */
 class UnresponsiveUpstreamTest {
 
@@ -42,7 +42,7 @@
     assertThat(targetsOf(10, 1_200)).contains(late.target().value());
   }
 
-  /** In a burst a request waited for memory on an engine that ended others all the while. */
+  /** A request that waits for memory does not make an engine unresponsive that completes others. */
   @Test
   void anEngineThatMakesProgressOnOtherRequestsIsNotUnresponsive() {
     Grant waiting = placePrefilled(0);
@@ -56,7 +56,7 @@
     assertThat(targetsOf(10, 1_000)).contains(full);
   }
 
-  /** A daemon was cut off; what it would have told of its requests says nothing of the engines. */
+  /** A disconnected daemon cannot report progress, so its requests are not counted. */
   @Test
   void requestsOfADaemonThatSendsNoMessagesDoNotCount() {
     Grant disconnected = placePrefilled("cut", 0, PlacementFixtures.OTHER_ENTRY);
@@ -91,7 +91,7 @@
     return placePrefilled("r" + requests++, nowMillis, PlacementFixtures.ENTRY);
   }
 
-  /** Places a request whose prompt is read at once. */
+  /** Places a request and reports its prefill as complete at once. */
   private Grant placePrefilled(String name, long nowMillis, DaemonId entry) {
     Grant grant =
         onlyGrant(placer.place(request(name).entry(entry).tokens(1_000, 100).build(), nowMillis));
--- a/core/src/test/java/org/marjoramsail/core/placement/UpstreamRateLimitTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/UpstreamRateLimitTest.java
@@ -20,29 +20,25 @@
 import org.marjoramsail.core.placement.HostsBeforeUpstreams.Way;
 
 /**
- * Two of three upstreams of a desk were in need and said in each answer how many requests a second
- * they take from all hosts together: 4.1 and 3.5. All hosts had been told, and went on to send them
- * as much as before: 39 and 54 requests within four seconds, where 30 and 26 are allowed. Nobody
- * read it: no line of a host spoke of a limit, and the two got 8 and 15 requests in the second
- * before they named it, 9 and 6 two seconds later. Owners granted places by slots, and an upstream
- * in need answers quickly what it answers.
+ * Guards against hosts that together exceed the request rate that an upstream announces, since an
+ * upstream that needs relief responds quickly and appears idle.
  */
 class UpstreamRateLimitTest {
 
   private static final long LIMITED_FROM_MILLIS = 4_000;
   private static final long DURATION_MILLIS = 20_000;
 
-  /** How long after the first word of a limit the fleet has to keep it. */
+  /** How long hosts may take to apply a limit after it is first announced. */
   private static final long PROPAGATION_MILLIS = 3_000;
 
-  /** How long a host may take to act on what it has passed on to a caller. */
+  /** How long a host may take to apply a limit after it received it. */
   private static final long REACTION_MILLIS = 500;
 
   private static final long WINDOW_MILLIS = 4_000;
   private static final double ALLOWED_FACTOR = 1.5;
   private static final int ALLOWED_REQUESTS = 5;
 
-  /** Requests a second for each upstream: about what three busy desks ask of three upstreams. */
+  /** Offered requests a second for each upstream. */
   private static final double LOAD_OF_UPSTREAM = 12;
 
   private static final int SLOTS = 6;
@@ -50,8 +46,7 @@
 
   @ParameterizedTest
   @CsvSource({"7, 3, 2, 1", "7, 3, 2, 2", "77, 12, 4, 1", "390, 40, 12, 1"})
-  void hostsTogetherObeyTheLimitOfAnUpstream(
-      int hosts, int upstreams, int limited, long seed) {
+  void hostsTogetherObeyTheLimitOfAnUpstream(int hosts, int upstreams, int limited, long seed) {
     HostsBeforeUpstreams fleet = fleet(hosts, upstreams, limited, seed, Way.AT_THE_OWNER);
 
     fleet.run(DURATION_MILLIS);
@@ -59,7 +54,7 @@
     assertLimitsHold(fleet, limited);
   }
 
-  /** An upstream in need is kept busy with what it can take. */
+  /** A limited upstream gets as many requests as it accepts. */
   @ParameterizedTest
   @CsvSource({"7, 3, 2, 1", "77, 12, 4, 1", "390, 40, 12, 1"})
   void aLimitIsFullyUsedUnderHigherDemand(int hosts, int upstreams, int limited, long seed) {
@@ -73,8 +68,8 @@
   }
 
   /**
-   * The other way that was weighed: each host that was told keeps to its part of the limit. Hosts
-   * that were not told go on, and there are the more of them the more hosts there are.
+   * Compares with the alternative in which each host that received the limit keeps to a share of
+   * it; hosts that did not receive it exceed it.
    */
   @ParameterizedTest
   @ValueSource(ints = {77, 390})
@@ -89,7 +84,7 @@
     assertThat(usedShare(byShares, first)).isGreaterThan(1.5);
   }
 
-  /** Owners die one after the other; none of them knows what the ones before it were told. */
+  /** Owners fail one after the other; a new owner has received no feedback of the previous ones. */
   @Property(seed = "20261203", tries = 12)
   void theLimitHoldsWhenOwnersFail(@ForAll @LongRange(min = 1) long seed) {
     HostsBeforeUpstreams fleet = fleet(7, 3, 2, seed, Way.AT_THE_OWNER);
@@ -105,8 +100,8 @@
   }
 
   /**
-   * The owner is cut off from those that were told; they choose another, which nobody has told. The
-   * host that is cut off goes on by itself, with its part of the limit once it sees that it is.
+   * The owner is partitioned from the hosts that received the limit, and they elect another owner.
+   * The isolated host grants by itself, with its share of the limit once it detects the partition.
    */
   @ParameterizedTest
   @ValueSource(ints = {7, 77})
@@ -124,7 +119,7 @@
     }
   }
 
-  /** A host that reaches no other one decides for itself by what it was told. */
+  /** A host that reaches no other host places by the limit that it received itself. */
   @Test
   void anIsolatedHostObeysTheLimit() {
     HostsBeforeUpstreams fleet = fleet(2, 3, 2, 1, Way.AT_THE_OWNER);
@@ -152,7 +147,10 @@
     assertThat(arrivals(fleet, changing, 15_000, 19_000)).isGreaterThan(30);
   }
 
-  /** An upstream that takes nothing gets a request now and then, by which the end is noticed. */
+  /**
+   * An upstream that accepts no requests still gets one occasionally, whose response ends the
+   * limit.
+   */
   @Test
   void aLimitOfZeroIsKeptAndItsEndIsNoticed() {
     HostsBeforeUpstreams fleet =
@@ -171,7 +169,7 @@
     assertThat(arrivals(fleet, first, 18_000, 22_000)).isGreaterThan(30);
   }
 
-  /** What all upstreams together do not take is refused soon, with the time after which it fits. */
+  /** Requests beyond the limits of all upstreams are refused early, with a time to retry. */
   @Test
   void excessRequestsAreRefusedEarlyWithARetryTime() {
     HostsBeforeUpstreams fleet = fleet(7, 3, 3, 1, Way.AT_THE_OWNER);
@@ -190,7 +188,7 @@
         .isGreaterThan(refused.size() * 9L / 10);
   }
 
-  /** Upstreams of which the first ones name a limit from some time on. */
+  /** Creates upstreams of which the first ones announce a limit after some time. */
   private static HostsBeforeUpstreams fleet(
       int hosts, int upstreams, int limited, long seed, Way way) {
     HostsBeforeUpstreams fleet =
@@ -232,7 +230,7 @@
     }
   }
 
-  /** Which part of its limit an upstream got, once all know of it. */
+  /** Returns the used share of the limit of an upstream after hosts had time to apply it. */
   private static double usedShare(HostsBeforeUpstreams fleet, UpstreamName name) {
     long from = LIMITED_FROM_MILLIS + PROPAGATION_MILLIS;
     double seconds = (DURATION_MILLIS - from) / 1_000.0;
@@ -250,7 +248,10 @@
     return mostInAWindow(fleet, name, arrival -> true);
   }
 
-  /** The most requests of hosts that had been told which an upstream got in any window. */
+  /**
+   * Returns the most requests in any window that an upstream got from hosts that had received the
+   * limit.
+   */
   private static long mostInAWindow(
       HostsBeforeUpstreams fleet, UpstreamName name, Predicate<Arrival> isCounted) {
     List<Arrival> counted =
@@ -272,7 +273,7 @@
     return most;
   }
 
-  /** Whether a caller was refused before its answer would have been late. */
+  /** Returns whether a request was refused before its latency target. */
   private static boolean isRefusedBeforeTarget(End end) {
     return end.endedAtMillis() - end.askedAtMillis() <= HostsBeforeUpstreams.TARGET_MILLIS;
   }
