--- a/core/src/main/java/org/marjoramsail/core/placement/AttemptMemory.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/AttemptMemory.java
@@ -26,7 +26,7 @@
     ended.put(request, new Ended(attempt, nowMillis + MEMORY_MILLIS));
   }
 
-  void gone(DaemonId daemon, long nowMillis) {
+  void daemonFailed(DaemonId daemon, long nowMillis) {
     gone.put(daemon, nowMillis + MEMORY_MILLIS);
   }
 
@@ -37,7 +37,7 @@
    * go without an answer for the rest of the time for which it counts as gone, since none of its
    * requests would be queued. It is heard again as soon as membership has taken it back.
    */
-  void back(DaemonId daemon) {
+  void daemonRecovered(DaemonId daemon) {
     gone.invalidate(daemon);
   }
 
--- a/core/src/main/java/org/marjoramsail/core/placement/DirectPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/DirectPlacer.java
@@ -116,7 +116,7 @@
   }
 
   @Override
-  public final List<PlacementResult> daemonGone(DaemonId daemon, long nowMillis) {
+  public final List<PlacementResult> daemonFailed(DaemonId daemon, long nowMillis) {
     decided.values().removeIf(it -> SlotLedger.isRunOf(it.request().entry(), daemon));
     return List.of();
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/Placer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/Placer.java
@@ -59,13 +59,13 @@
   List<PlacementResult> availability(UpstreamName upstream, boolean available, long nowMillis);
 
   /** Drops all that a dead daemon had waiting or granted. */
-  List<PlacementResult> daemonGone(DaemonId daemon, long nowMillis);
+  List<PlacementResult> daemonFailed(DaemonId daemon, long nowMillis);
 
   /**
    * Records that a daemon lives that was said to be dead: what it asks for counts again. A policy
    * that remembers no dead daemons has nothing to do.
    */
-  default void daemonBack(DaemonId daemon) {}
+  default void daemonRecovered(DaemonId daemon) {}
 
   /** Does what time has made due; called every few milliseconds. */
   List<PlacementResult> tick(long nowMillis);
--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -190,13 +190,13 @@
   }
 
   @Override
-  public void daemonBack(DaemonId daemon) {
-    memory.back(daemon);
+  public void daemonRecovered(DaemonId daemon) {
+    memory.daemonRecovered(daemon);
   }
 
   @Override
-  public List<PlacementResult> daemonGone(DaemonId daemon, long nowMillis) {
-    memory.gone(daemon, nowMillis);
+  public List<PlacementResult> daemonFailed(DaemonId daemon, long nowMillis) {
+    memory.daemonFailed(daemon, nowMillis);
     upstreams.daemonFailed(daemon);
     List<RequestId> lost = new ArrayList<>();
     ledger.ofDaemon(daemon).forEach(attempt -> lost.add(attempt.request().request()));
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardLedger.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardLedger.java
@@ -97,9 +97,9 @@
   }
 
   /** Drops what a dead daemon had here. */
-  public List<Outgoing> daemonGone(DaemonId daemon, long nowMillis) {
+  public List<Outgoing> daemonFailed(DaemonId daemon, long nowMillis) {
     registrations.values().removeIf(registration -> registration.entry.equals(daemon));
-    return outgoing(placer.daemonGone(daemon, nowMillis));
+    return outgoing(placer.daemonFailed(daemon, nowMillis));
   }
 
   /**
@@ -113,11 +113,11 @@
    * daemon that has just started sends requests before it is known to live, their ends came for
    * registrations that were forgotten, and a pool of idle servers looked full to its owner.
    */
-  public void daemonBack(DaemonId daemon) {
+  public void daemonRecovered(DaemonId daemon) {
     registrations
         .entrySet()
         .removeIf(one -> one.getValue().entry.equals(daemon) && !placer.holds(one.getKey()));
-    placer.daemonBack(daemon);
+    placer.daemonRecovered(daemon);
   }
 
   /** Passes a fact about upstreams or configuration to the placer. */
--- a/core/src/test/java/org/marjoramsail/core/placement/HostsBeforeUpstreams.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/HostsBeforeUpstreams.java
@@ -135,7 +135,7 @@
     toldAt.values().forEach(told -> told.remove(before));
     for (Host host : living()) {
       act(host, host.entry.lost(before, events.now()));
-      host.ledger.ifPresent(ledger -> send(host, ledger.daemonGone(before, events.now())));
+      host.ledger.ifPresent(ledger -> send(host, ledger.daemonFailed(before, events.now())));
     }
   }
 
--- a/core/src/test/java/org/marjoramsail/core/placement/ReservingPlacerFuzzTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/ReservingPlacerFuzzTest.java
@@ -254,7 +254,7 @@
           entry.over(now, true);
         }
       }
-      take(placer.daemonGone(dead, now));
+      take(placer.daemonFailed(dead, now));
     }
 
     /** The entries register what they hold with the new owner, some twice, and ask again. */
--- a/core/src/test/java/org/marjoramsail/core/placement/ReservingPlacerTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/ReservingPlacerTest.java
@@ -162,7 +162,7 @@
     placer.place(request("r2").build(), 0);
     placer.place(request("r3").entry(PlacementFixtures.OTHER_ENTRY).build(), 0);
 
-    assertThat(granted(placer.daemonGone(PlacementFixtures.ENTRY, 10))).containsExactly("r3");
+    assertThat(granted(placer.daemonFailed(PlacementFixtures.ENTRY, 10))).containsExactly("r3");
   }
 
   /**
@@ -173,10 +173,10 @@
   @Test
   void aDaemonThatComesBackIsServedAtOnce() {
     ReservingPlacer placer = placer(pool(0, 1, 2));
-    placer.daemonGone(PlacementFixtures.ENTRY, 0);
+    placer.daemonFailed(PlacementFixtures.ENTRY, 0);
 
     assertThat(placer.place(request("late").tokens(50, 10).build(), 10)).isEmpty();
-    placer.daemonBack(PlacementFixtures.ENTRY);
+    placer.daemonRecovered(PlacementFixtures.ENTRY);
 
     assertThat(granted(placer.place(request("new").tokens(50, 10).build(), 20)))
         .containsExactly("new");
--- a/core/src/test/java/org/marjoramsail/core/placement/ShardLedgerTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/ShardLedgerTest.java
@@ -73,9 +73,9 @@
     PlacementMessage place = new PlacementMessage.Place(SHARD, asking("first"), List.of());
     PlacementMessage.Holding holding =
         new PlacementMessage.Holding(new RequestId("first"), 1, false);
-    reserving.daemonGone(ENTRY, 0);
+    reserving.daemonFailed(ENTRY, 0);
     reserving.handle(ENTRY, place, 10);
-    reserving.daemonBack(ENTRY);
+    reserving.daemonRecovered(ENTRY);
 
     assertThat(reserving.handle(ENTRY, new PlacementMessage.Holdings(SHARD, List.of(holding)), 20))
         .extracting(ShardLedger.Outgoing::message)
@@ -128,7 +128,7 @@
     ShardLedger reserving = reserving();
     reserving.handle(ENTRY, new PlacementMessage.Place(SHARD, asking("first"), List.of()), 0);
 
-    reserving.daemonBack(ENTRY);
+    reserving.daemonRecovered(ENTRY);
     reserving.handle(ENTRY, new PlacementMessage.Report(SHARD, ended("first"), List.of()), 20);
 
     assertThat(
--- a/core/src/test/java/org/marjoramsail/core/placement/SlotCountingPlacer.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/SlotCountingPlacer.java
@@ -77,7 +77,7 @@
   }
 
   @Override
-  public List<PlacementResult> daemonGone(DaemonId daemon, long nowMillis) {
+  public List<PlacementResult> daemonFailed(DaemonId daemon, long nowMillis) {
     waiting.values().removeIf(request -> request.entry().equals(daemon));
     held.values().removeIf(daemon::equals);
     return serve();
--- a/core/src/test/java/org/marjoramsail/core/placement/SoftOwnershipFuzzTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/SoftOwnershipFuzzTest.java
@@ -104,7 +104,7 @@
       for (DaemonId daemon : alive) {
         for (DaemonId other : entries.keySet()) {
           if (!alive.contains(other)) {
-            send(daemon, ledgers.get(daemon).daemonGone(other, now));
+            send(daemon, ledgers.get(daemon).daemonFailed(other, now));
           }
         }
       }
--- a/daemon/src/main/java/org/marjoramsail/daemon/assembly/DaemonRuntime.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/assembly/DaemonRuntime.java
@@ -405,7 +405,7 @@
     for (DaemonId before : reachable) {
       boolean superseded = now.stream().anyMatch(other -> other.supersedes(before));
       if (!now.contains(before) && (superseded || dead.contains(before))) {
-        orphans.daemonGone(before);
+        orphans.daemonFailed(before);
       }
     }
     reachable = now;
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/DistributedPlacement.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/DistributedPlacement.java
@@ -177,8 +177,8 @@
     }
     double share = view.budgetShare();
     informSharing((sharing, millis) -> sharing.fleetShare(share, millis));
-    gone.forEach(owned::daemonGone);
-    back.forEach(owned::daemonBack);
+    gone.forEach(owned::daemonFailed);
+    back.forEach(owned::daemonRecovered);
     tickEntry();
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShard.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShard.java
@@ -39,12 +39,12 @@
     return ledger.inform(event, nowMillis);
   }
 
-  synchronized List<ShardLedger.Outgoing> daemonGone(DaemonId daemon, long nowMillis) {
-    return ledger.daemonGone(daemon, nowMillis);
+  synchronized List<ShardLedger.Outgoing> daemonFailed(DaemonId daemon, long nowMillis) {
+    return ledger.daemonFailed(daemon, nowMillis);
   }
 
-  synchronized void daemonBack(DaemonId daemon) {
-    ledger.daemonBack(daemon);
+  synchronized void daemonRecovered(DaemonId daemon) {
+    ledger.daemonRecovered(daemon);
   }
 
   synchronized List<ShardLedger.Outgoing> tick(long nowMillis) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShards.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShards.java
@@ -66,12 +66,12 @@
     shards.values().forEach(shard -> send(shard.inform(event, clock.millis())));
   }
 
-  void daemonGone(DaemonId daemon) {
-    shards.values().forEach(shard -> send(shard.daemonGone(daemon, clock.millis())));
+  void daemonFailed(DaemonId daemon) {
+    shards.values().forEach(shard -> send(shard.daemonFailed(daemon, clock.millis())));
   }
 
-  void daemonBack(DaemonId daemon) {
-    shards.values().forEach(shard -> shard.daemonBack(daemon));
+  void daemonRecovered(DaemonId daemon) {
+    shards.values().forEach(shard -> shard.daemonRecovered(daemon));
   }
 
   void tick() {
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/OrphanCanceller.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/OrphanCanceller.java
@@ -53,7 +53,7 @@
   }
 
   /** Records that a run of a daemon is dead. */
-  public synchronized void daemonGone(DaemonId daemon) {
+  public synchronized void daemonFailed(DaemonId daemon) {
     gone.put(daemon, new Gone(clock.millis() + SEARCH_MILLIS));
   }
 
--- a/daemon/src/test/java/org/marjoramsail/daemon/upstream/OrphanCancellerTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/upstream/OrphanCancellerTest.java
@@ -108,7 +108,7 @@
     generate("entry-2", 7, "q4");
     Waits.until("all are held", () -> engine.audit().held() == 4);
     engine.refuseCancels(true);
-    canceller.daemonGone(new DaemonId("entry-1", 7));
+    canceller.daemonFailed(new DaemonId("entry-1", 7));
     canceller.tick();
     Waits.until("a cancel failed", () -> count("cancel.failures") > 0);
     assertThat(engine.audit().held()).isEqualTo(4);
