--- a/core/src/main/java/org/marjoramsail/core/placement/PlacerEvent.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacerEvent.java
@@ -7,5 +7,5 @@
 public interface PlacerEvent {
 
   /** Tells the fact and gives what the placer decided because of it. */
-  List<PlacementResult> tell(Placer placer, long nowMillis);
+  List<PlacementResult> applyTo(Placer placer, long nowMillis);
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardLedger.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardCoordinator.java
@@ -18,7 +18,7 @@
  * what an entry no longer speaks of. Not safe for several threads; the shell calls it under the
  * lock of the shard.
  */
-public final class ShardLedger {
+public final class ShardCoordinator {
 
   /**
    * A message that the shell has to send.
@@ -31,16 +31,16 @@
   private static final class Registration {
     private final DaemonId entry;
     private final int attempt;
-    private long heardMillis;
+    private long lastMessageMillis;
     private Grant grant;
 
-    Registration(DaemonId entry, int attempt, long heardMillis) {
+    Registration(DaemonId entry, int attempt, long lastMessageMillis) {
       this.entry = entry;
       this.attempt = attempt;
-      this.heardMillis = heardMillis;
+      this.lastMessageMillis = lastMessageMillis;
     }
 
-    boolean agreesWith(Holding holding) {
+    boolean matches(Holding holding) {
       return attempt == holding.attempt() && (grant != null || !holding.granted());
     }
   }
@@ -58,7 +58,7 @@
    * @param placer decides; called by this ledger alone
    * @param timings how long to keep what no entry speaks of
    */
-  public ShardLedger(ShardId shard, Placer placer, PlacementTimings timings) {
+  public ShardCoordinator(ShardId shard, Placer placer, PlacementTimings timings) {
     this.shard = shard;
     this.placer = placer;
     this.timings = timings;
@@ -70,8 +70,8 @@
       return decide(from, message, nowMillis);
     }
     List<Outgoing> result = new ArrayList<>();
-    for (RelayedFeedback condition : message.conditions()) {
-      result.addAll(outgoing(placer.acceptFeedback(condition, from, nowMillis)));
+    for (RelayedFeedback feedback : message.conditions()) {
+      result.addAll(outgoing(placer.acceptFeedback(feedback, from, nowMillis)));
     }
     result.addAll(decide(from, message, nowMillis));
     return result;
@@ -121,8 +121,8 @@
   }
 
   /** Passes a fact about upstreams or configuration to the placer. */
-  public List<Outgoing> inform(PlacerEvent event, long nowMillis) {
-    return outgoing(event.tell(placer, nowMillis));
+  public List<Outgoing> apply(PlacerEvent event, long nowMillis) {
+    return outgoing(event.applyTo(placer, nowMillis));
   }
 
   /** What the owners of other shards should hear of the organisations here, if it is anything. */
@@ -137,7 +137,7 @@
     List<Outgoing> result = new ArrayList<>(outgoing(placer.tick(nowMillis)));
     if (nowMillis - lastSweepMillis >= timings.holdingsMillis()) {
       lastSweepMillis = nowMillis;
-      result.addAll(forgetUnspoken(nowMillis));
+      result.addAll(releaseExpired(nowMillis));
     }
     return result;
   }
@@ -173,8 +173,8 @@
       return List.of();
     }
     if (known != null && known.attempt == request.attempt()) {
-      known.heardMillis = nowMillis;
-      return List.of(new Outgoing(from, standing(request, known)));
+      known.lastMessageMillis = nowMillis;
+      return List.of(new Outgoing(from, currentState(request, known)));
     }
     List<Outgoing> result = new ArrayList<>();
     if (known != null) {
@@ -184,12 +184,12 @@
     result.addAll(outgoing(placer.place(request, nowMillis)));
     Registration after = registrations.get(request.request());
     if (after != null && after.grant == null) {
-      result.add(new Outgoing(from, standing(request, after)));
+      result.add(new Outgoing(from, currentState(request, after)));
     }
     return result;
   }
 
-  private PlacementMessage standing(PlacementRequest request, Registration registration) {
+  private PlacementMessage currentState(PlacementRequest request, Registration registration) {
     if (registration.grant != null) {
       return new PlacementMessage.Granted(shard, registration.grant);
     }
@@ -203,7 +203,7 @@
     boolean current =
         known != null && known.attempt == request.attempt() && restore.grant().equals(known.grant);
     if (current) {
-      known.heardMillis = nowMillis;
+      known.lastMessageMillis = nowMillis;
     } else {
       if (known != null) {
         result.addAll(withdraw(request.request(), known.attempt, nowMillis));
@@ -222,7 +222,7 @@
     if (known == null || known.attempt != report.attempt()) {
       return List.of();
     }
-    known.heardMillis = nowMillis;
+    known.lastMessageMillis = nowMillis;
     if (known.grant == null) {
       // The entry had its grant from another owner while the attempt still waited here. A placer
       // knows no end of what waits; left to it, the attempt would be granted to nobody and hold its
@@ -251,11 +251,11 @@
     List<Outgoing> result = new ArrayList<>();
     for (Holding holding : held) {
       Registration known = registrations.get(holding.request());
-      if (known == null || !known.agreesWith(holding)) {
+      if (known == null || !known.matches(holding)) {
         unknown.add(holding);
         continue;
       }
-      known.heardMillis = nowMillis;
+      known.lastMessageMillis = nowMillis;
       if (known.grant != null && !holding.granted()) {
         // The grant was lost on its way: the slot is held and nobody uses it until it is told
         // again.
@@ -272,16 +272,16 @@
    * <p>Guards against a lost end or withdrawal, which would hold a slot for ever: the pool would
    * seem full with idle engines. Entries repeat what they hold several times within the bound.
    */
-  private List<Outgoing> forgetUnspoken(long nowMillis) {
-    Map<RequestId, Integer> unspoken = new HashMap<>();
+  private List<Outgoing> releaseExpired(long nowMillis) {
+    Map<RequestId, Integer> expired = new HashMap<>();
     registrations.forEach(
         (request, registration) -> {
-          if (nowMillis - registration.heardMillis > timings.forgetMillis()) {
-            unspoken.put(request, registration.attempt);
+          if (nowMillis - registration.lastMessageMillis > timings.forgetMillis()) {
+            expired.put(request, registration.attempt);
           }
         });
     List<Outgoing> result = new ArrayList<>();
-    unspoken.forEach((request, attempt) -> result.addAll(withdraw(request, attempt, nowMillis)));
+    expired.forEach((request, attempt) -> result.addAll(withdraw(request, attempt, nowMillis)));
     return result;
   }
 
--- a/core/src/test/java/org/marjoramsail/core/placement/HostsBeforeUpstreams.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/HostsBeforeUpstreams.java
@@ -52,7 +52,7 @@
     private final UpstreamFeedbackTable conditions = new UpstreamFeedbackTable();
     private final Map<UpstreamName, TokenBucket> shares = new HashMap<>();
     private final EntryPlacement entry;
-    private Optional<ShardLedger> ledger = Optional.empty();
+    private Optional<ShardCoordinator> coordinator = Optional.empty();
     private int side;
     private double fleetShare = 1;
     private boolean dead;
@@ -135,7 +135,8 @@
     toldAt.values().forEach(told -> told.remove(before));
     for (Host host : living()) {
       act(host, host.entry.lost(before, events.now()));
-      host.ledger.ifPresent(ledger -> send(host, ledger.daemonFailed(before, events.now())));
+      host.coordinator.ifPresent(
+          coordinator -> send(host, coordinator.daemonFailed(before, events.now())));
     }
   }
 
@@ -148,7 +149,7 @@
   private void seeSides() {
     for (Host host : living()) {
       host.fleetShare = fleetShareOf(host);
-      host.ledger.ifPresent(ledger -> send(host, tellShare(host, ledger)));
+      host.coordinator.ifPresent(coordinator -> send(host, tellShare(host, coordinator)));
     }
   }
 
@@ -158,8 +159,8 @@
     return 2 * seen >= ranking.size() ? 1 : seen / (double) ranking.size();
   }
 
-  private List<ShardLedger.Outgoing> tellShare(Host host, ShardLedger ledger) {
-    return ledger.inform(
+  private List<ShardCoordinator.Outgoing> tellShare(Host host, ShardCoordinator coordinator) {
+    return coordinator.apply(
         (placer, now) -> {
           ((UsageSharing) placer).fleetShare(host.fleetShare, now);
           return List.of();
@@ -253,7 +254,7 @@
 
   private void tickOwners() {
     for (Host host : living()) {
-      host.ledger.ifPresent(ledger -> send(host, ledger.tick(events.now())));
+      host.coordinator.ifPresent(coordinator -> send(host, coordinator.tick(events.now())));
     }
   }
 
@@ -273,7 +274,7 @@
     }
   }
 
-  private void send(Host owner, List<ShardLedger.Outgoing> messages) {
+  private void send(Host owner, List<ShardCoordinator.Outgoing> messages) {
     messages.forEach(outgoing -> post(owner.id, outgoing.to(), outgoing.message()));
   }
 
@@ -294,20 +295,21 @@
             || message instanceof PlacementMessage.Withdraw
             || message instanceof PlacementMessage.Holdings;
     if (isForOwner) {
-      send(host, ledgerOf(host).handle(from, message, events.now()));
+      send(host, coordinatorOf(host).handle(from, message, events.now()));
     } else {
       act(host, host.entry.heard(from, message, events.now()));
     }
   }
 
-  private ShardLedger ledgerOf(Host host) {
-    if (host.ledger.isEmpty()) {
+  private ShardCoordinator coordinatorOf(Host host) {
+    if (host.coordinator.isEmpty()) {
       PlacerSetup setup = PlacementFixtures.setup(SHARD, configuration, events.now() > 0);
       ReservingPlacer placer = new ReservingPlacer(setup, events.now());
-      host.ledger = Optional.of(new ShardLedger(SHARD, placer, PlacementTimings.standard()));
+      host.coordinator =
+          Optional.of(new ShardCoordinator(SHARD, placer, PlacementTimings.standard()));
     }
-    send(host, tellShare(host, host.ledger.get()));
-    return host.ledger.get();
+    send(host, tellShare(host, host.coordinator.get()));
+    return host.coordinator.get();
   }
 
   private void answered(Host host, PlacementResult result) {
--- a/core/src/test/java/org/marjoramsail/core/placement/ShardLedgerTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/ShardCoordinatorTest.java
@@ -10,24 +10,25 @@
 import org.marjoramsail.core.model.ServiceClass;
 import org.marjoramsail.core.model.UpstreamName;
 
-final class ShardLedgerTest {
+final class ShardCoordinatorTest {
 
   private static final ShardId SHARD = new ShardId("ventanilla", "litoral", 0);
   private static final DaemonId ENTRY = new DaemonId("host-1", 1);
 
   private final SlotCountingPlacer placer = new SlotCountingPlacer(1);
-  private final ShardLedger ledger = new ShardLedger(SHARD, placer, PlacementTimings.standard());
+  private final ShardCoordinator coordinator =
+      new ShardCoordinator(SHARD, placer, PlacementTimings.standard());
 
   // A user sees a pool that refuses work though its engines are idle. In order: an attempt waits
   // here, its entry turns to another owner, is granted there, turns back, and the end arrives here
   // before any restore. Cause: the placer knew the attempt as waiting and granted it to nobody.
   @Test
-  void anEndOfAnAttemptThatStillWaitsHereLeavesNothingBehind() {
+  void theEndOfAWaitingAttemptRemovesIt() {
     place("first");
     place("second");
 
-    ledger.handle(ENTRY, new PlacementMessage.Report(SHARD, ended("second"), List.of()), 10);
-    ledger.handle(ENTRY, new PlacementMessage.Report(SHARD, ended("first"), List.of()), 20);
+    coordinator.handle(ENTRY, new PlacementMessage.Report(SHARD, ended("second"), List.of()), 10);
+    coordinator.handle(ENTRY, new PlacementMessage.Report(SHARD, ended("first"), List.of()), 20);
 
     assertThat(placer.held()).isZero();
     assertThat(placer.waiting()).isZero();
@@ -36,30 +37,30 @@
   // A user waits for an answer though an engine is reserved for the request. In order: the owner
   // grants, the message is lost, the entry repeats what it holds. Cause: nobody told it again.
   @Test
-  void aGrantThatWasLostIsToldAgainWhenTheEntryRepeatsItsHoldings() {
+  void aLostGrantIsSentAgainWhenTheEntryDaemonRepeatsItsHoldings() {
     place("first");
 
-    List<ShardLedger.Outgoing> answers =
-        ledger.handle(
+    List<ShardCoordinator.Outgoing> messages =
+        coordinator.handle(
             ENTRY,
             new PlacementMessage.Holdings(
                 SHARD, List.of(new PlacementMessage.Holding(new RequestId("first"), 1, false))),
             10);
 
-    assertThat(answers)
-        .extracting(ShardLedger.Outgoing::message)
+    assertThat(messages)
+        .extracting(ShardCoordinator.Outgoing::message)
         .anyMatch(PlacementMessage.Granted.class::isInstance);
   }
 
   // A pool loses a slot for good. In order: a grant is held, the message of its end is lost, the
   // entry no longer speaks of it. Cause: the owner waited for a message that never comes.
   @Test
-  void anAttemptOfWhichItsEntrySaysNothingIsReleasedAfterTheBound() {
+  void anAttemptThatItsEntryDaemonNoLongerReportsIsReleasedAfterItsExpiry() {
     place("first");
 
-    ledger.tick(PlacementTimings.standard().forgetMillis());
+    coordinator.tick(PlacementTimings.standard().forgetMillis());
     assertThat(placer.held()).isEqualTo(1);
-    ledger.tick(2 * PlacementTimings.standard().forgetMillis());
+    coordinator.tick(2 * PlacementTimings.standard().forgetMillis());
 
     assertThat(placer.held()).isZero();
   }
@@ -68,8 +69,8 @@
   // still, is declared dead, goes on, sends the request and is taken back. Cause: the owner dropped
   // the request as a late one of a dead daemon and yet told the daemon that it waits.
   @Test
-  void whatADaemonSentWhileItWasHeldForDeadIsAskedForOnceItIsBack() {
-    ShardLedger reserving = reserving();
+  void requestsFromADaemonWronglyDeclaredDeadAreRequestedAgainAfterItsRecovery() {
+    ShardCoordinator reserving = coordinatorWithReservingPlacer();
     PlacementMessage place = new PlacementMessage.Place(SHARD, asking("first"), List.of());
     PlacementMessage.Holding holding =
         new PlacementMessage.Holding(new RequestId("first"), 1, false);
@@ -78,17 +79,17 @@
     reserving.daemonRecovered(ENTRY);
 
     assertThat(reserving.handle(ENTRY, new PlacementMessage.Holdings(SHARD, List.of(holding)), 20))
-        .extracting(ShardLedger.Outgoing::message)
+        .extracting(ShardCoordinator.Outgoing::message)
         .containsExactly(new PlacementMessage.Unknown(SHARD, List.of(holding)));
     assertThat(reserving.handle(ENTRY, place, 30))
-        .extracting(ShardLedger.Outgoing::message)
+        .extracting(ShardCoordinator.Outgoing::message)
         .hasOnlyElementsOfType(PlacementMessage.Granted.class);
   }
 
   @Test
   void placingTheSameAttemptAgainTakesNoSecondSlot() {
     place("first");
-    List<ShardLedger.Outgoing> again = place("first");
+    List<ShardCoordinator.Outgoing> again = place("first");
 
     assertThat(placer.held()).isEqualTo(1);
     assertThat(again).hasSize(1);
@@ -106,7 +107,7 @@
             new UpstreamName("only"),
             0,
             0);
-    ledger.handle(
+    coordinator.handle(
         ENTRY,
         new PlacementMessage.Restore(
             SHARD, asking("first"), grant, AttemptPhase.GENERATING, List.of()),
@@ -124,8 +125,8 @@
   // daemons live, it takes them as back, and the lookups end. Cause: the owner had forgotten the
   // registrations, dropped the ends, and held the slots for ever.
   @Test
-  void whatRunsForADaemonThatIsTakenBackIsReleasedAtItsEnd() {
-    ShardLedger reserving = reserving();
+  void attemptsOfARecoveredDaemonAreReleasedWhenTheyEnd() {
+    ShardCoordinator reserving = coordinatorWithReservingPlacer();
     reserving.handle(ENTRY, new PlacementMessage.Place(SHARD, asking("first"), List.of()), 0);
 
     reserving.daemonRecovered(ENTRY);
@@ -134,20 +135,21 @@
     assertThat(
             reserving.handle(
                 ENTRY, new PlacementMessage.Place(SHARD, asking("second"), List.of()), 30))
-        .extracting(ShardLedger.Outgoing::message)
+        .extracting(ShardCoordinator.Outgoing::message)
         .anyMatch(PlacementMessage.Granted.class::isInstance);
   }
 
   /** A ledger before the placer that daemons use, with one plain server of one slot. */
-  private static ShardLedger reserving() {
-    return new ShardLedger(
+  private static ShardCoordinator coordinatorWithReservingPlacer() {
+    return new ShardCoordinator(
         SHARD,
         PlacementFixtures.plainPlacer(PlacementFixtures.plainPool(1, 1)),
         PlacementTimings.standard());
   }
 
-  private List<ShardLedger.Outgoing> place(String request) {
-    return ledger.handle(ENTRY, new PlacementMessage.Place(SHARD, asking(request), List.of()), 0);
+  private List<ShardCoordinator.Outgoing> place(String request) {
+    return coordinator.handle(
+        ENTRY, new PlacementMessage.Place(SHARD, asking(request), List.of()), 0);
   }
 
   private static PlacementRequest asking(String request) {
--- a/core/src/test/java/org/marjoramsail/core/placement/SoftOwnershipFuzzTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/SoftOwnershipFuzzTest.java
@@ -33,7 +33,7 @@
     private final Random random;
     private final List<DaemonId> alive = new ArrayList<>();
     private final Map<DaemonId, EntryPlacement> entries = new HashMap<>();
-    private final Map<DaemonId, ShardLedger> ledgers = new HashMap<>();
+    private final Map<DaemonId, ShardCoordinator> coordinators = new HashMap<>();
     private final Map<DaemonId, SlotCountingPlacer> placers = new HashMap<>();
     private final List<Envelope> underway = new ArrayList<>();
     private final Map<RequestId, DaemonId> waiting = new HashMap<>();
@@ -52,7 +52,7 @@
         alive.add(id);
         SlotCountingPlacer placer = new SlotCountingPlacer(SLOTS);
         placers.put(id, placer);
-        ledgers.put(id, new ShardLedger(SHARD, placer, PlacementTimings.standard()));
+        coordinators.put(id, new ShardCoordinator(SHARD, placer, PlacementTimings.standard()));
         entries.put(
             id,
             new EntryPlacement(
@@ -104,7 +104,7 @@
       for (DaemonId daemon : alive) {
         for (DaemonId other : entries.keySet()) {
           if (!alive.contains(other)) {
-            send(daemon, ledgers.get(daemon).daemonFailed(other, now));
+            send(daemon, coordinators.get(daemon).daemonFailed(other, now));
           }
         }
       }
@@ -120,7 +120,7 @@
         now += TICK_MILLIS;
         for (DaemonId daemon : List.copyOf(alive)) {
           act(daemon, entries.get(daemon).tick(now));
-          send(daemon, ledgers.get(daemon).tick(now));
+          send(daemon, coordinators.get(daemon).tick(now));
         }
         deliver();
       }
@@ -148,7 +148,7 @@
               || message instanceof PlacementMessage.Withdraw
               || message instanceof PlacementMessage.Holdings;
       if (toOwner) {
-        send(envelope.to(), ledgers.get(envelope.to()).handle(envelope.from(), message, now));
+        send(envelope.to(), coordinators.get(envelope.to()).handle(envelope.from(), message, now));
       } else {
         act(envelope.to(), entries.get(envelope.to()).heard(envelope.from(), message, now));
       }
@@ -166,7 +166,7 @@
       }
     }
 
-    private void send(DaemonId owner, List<ShardLedger.Outgoing> messages) {
+    private void send(DaemonId owner, List<ShardCoordinator.Outgoing> messages) {
       messages.forEach(outgoing -> post(owner, outgoing.to(), outgoing.message()));
     }
 
@@ -254,7 +254,7 @@
     for (DaemonId daemon : fleet.alive) {
       assertThat(fleet.placers.get(daemon).held()).as("slots held at " + daemon).isZero();
       assertThat(fleet.placers.get(daemon).waiting()).as("waiting at " + daemon).isZero();
-      assertThat(fleet.ledgers.get(daemon).isEmpty()).isTrue();
+      assertThat(fleet.coordinators.get(daemon).isEmpty()).isTrue();
       assertThat(fleet.entries.get(daemon).size()).isZero();
     }
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/DistributedPlacement.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/DistributedPlacement.java
@@ -35,8 +35,8 @@
 import org.marjoramsail.core.placement.PlacementTimings;
 import org.marjoramsail.core.placement.PlacerEvent;
 import org.marjoramsail.core.placement.RoleChange;
+import org.marjoramsail.core.placement.ShardCoordinator;
 import org.marjoramsail.core.placement.ShardId;
-import org.marjoramsail.core.placement.ShardLedger;
 import org.marjoramsail.core.placement.ShardView;
 import org.marjoramsail.core.placement.UsageSharing;
 import org.marjoramsail.core.time.Clock;
@@ -46,7 +46,8 @@
  *
  * <p>It is entry for the requests of this daemon's callers and owner of some shards. Messages to
  * itself take no network. Callbacks and sends happen outside of all locks, so messages of one
- * attempt may overtake each other; {@link EntryPlacement} and {@link ShardLedger} hold under that.
+ * attempt may overtake each other; {@link EntryPlacement} and {@link ShardCoordinator} hold under
+ * that.
  */
 public final class DistributedPlacement implements PlacementService {
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShard.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShard.java
@@ -8,18 +8,18 @@
 import org.marjoramsail.core.placement.PlacementMessage;
 import org.marjoramsail.core.placement.PlacerEvent;
 import org.marjoramsail.core.placement.RoleChange;
+import org.marjoramsail.core.placement.ShardCoordinator;
 import org.marjoramsail.core.placement.ShardId;
-import org.marjoramsail.core.placement.ShardLedger;
 import org.marjoramsail.core.placement.ShardView;
 
 /** One shard that this daemon decides for, under its own lock. */
 final class OwnedShard {
 
   private final ShardId shard;
-  private final ShardLedger ledger;
+  private final ShardCoordinator ledger;
   private long usedMillis;
 
-  OwnedShard(ShardId shard, ShardLedger ledger, long nowMillis) {
+  OwnedShard(ShardId shard, ShardCoordinator ledger, long nowMillis) {
     this.shard = shard;
     this.ledger = ledger;
     this.usedMillis = nowMillis;
@@ -29,17 +29,17 @@
     return shard;
   }
 
-  synchronized List<ShardLedger.Outgoing> handle(
+  synchronized List<ShardCoordinator.Outgoing> handle(
       DaemonId from, PlacementMessage message, long nowMillis) {
     usedMillis = nowMillis;
     return ledger.handle(from, message, nowMillis);
   }
 
-  synchronized List<ShardLedger.Outgoing> inform(PlacerEvent event, long nowMillis) {
-    return ledger.inform(event, nowMillis);
+  synchronized List<ShardCoordinator.Outgoing> inform(PlacerEvent event, long nowMillis) {
+    return ledger.apply(event, nowMillis);
   }
 
-  synchronized List<ShardLedger.Outgoing> daemonFailed(DaemonId daemon, long nowMillis) {
+  synchronized List<ShardCoordinator.Outgoing> daemonFailed(DaemonId daemon, long nowMillis) {
     return ledger.daemonFailed(daemon, nowMillis);
   }
 
@@ -47,7 +47,7 @@
     ledger.daemonRecovered(daemon);
   }
 
-  synchronized List<ShardLedger.Outgoing> tick(long nowMillis) {
+  synchronized List<ShardCoordinator.Outgoing> tick(long nowMillis) {
     if (!ledger.isEmpty()) {
       usedMillis = nowMillis;
     }
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShards.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShards.java
@@ -13,8 +13,8 @@
 import org.marjoramsail.core.placement.PlacementTimings;
 import org.marjoramsail.core.placement.PlacerEvent;
 import org.marjoramsail.core.placement.RoleChange;
+import org.marjoramsail.core.placement.ShardCoordinator;
 import org.marjoramsail.core.placement.ShardId;
-import org.marjoramsail.core.placement.ShardLedger;
 import org.marjoramsail.core.placement.ShardView;
 import org.marjoramsail.core.time.Clock;
 import org.slf4j.Logger;
@@ -37,7 +37,7 @@
   private final ShardChoice choice;
   private final PlacementTimings timings;
   private final Clock clock;
-  private final Consumer<ShardLedger.Outgoing> sender;
+  private final Consumer<ShardCoordinator.Outgoing> sender;
   private final Map<ShardId, OwnedShard> shards = new ConcurrentHashMap<>();
 
   OwnedShards(
@@ -45,7 +45,7 @@
       ShardChoice choice,
       PlacementTimings timings,
       Clock clock,
-      Consumer<ShardLedger.Outgoing> sender) {
+      Consumer<ShardCoordinator.Outgoing> sender) {
     this.self = self;
     this.choice = choice;
     this.timings = timings;
@@ -159,11 +159,11 @@
   }
 
   private OwnedShard open(ShardId id) {
-    ShardLedger ledger = new ShardLedger(id, choice.placerFor(id), timings);
+    ShardCoordinator ledger = new ShardCoordinator(id, choice.placerFor(id), timings);
     return new OwnedShard(id, ledger, clock.millis());
   }
 
-  private void send(List<ShardLedger.Outgoing> messages) {
+  private void send(List<ShardCoordinator.Outgoing> messages) {
     messages.forEach(sender);
   }
 }
