--- a/core/src/main/java/org/marjoramsail/core/model/Pieces.java
+++ b/core/src/main/java/org/marjoramsail/core/model/StreamChunking.java
@@ -9,8 +9,8 @@
  * @param longestPauseMillis the longest time between two pieces of an answer that is in time
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-public record Pieces(int tokens, long longestPauseMillis) {
+public record StreamChunking(int tokens, long longestPauseMillis) {
 
   /** One token a piece, in any time. */
-  public static final Pieces SINGLE_TOKENS = new Pieces(1, Long.MAX_VALUE);
+  public static final StreamChunking SINGLE_TOKENS = new StreamChunking(1, Long.MAX_VALUE);
 }
--- a/core/src/main/java/org/marjoramsail/core/outcome/PlacementAsk.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/PlacementAsk.java
@@ -44,7 +44,7 @@
         kv.map(KvSource::holder),
         alone,
         profile.fingerprint(),
-        profile.pieces(),
+        profile.chunking(),
         attempt == FIRST_ATTEMPT ? profile.countedTokens() : 0);
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
@@ -591,7 +591,7 @@
   }
 
   private int generatedTokens() {
-    return nextIndex * profile.pieces().tokens();
+    return nextIndex * profile.chunking().tokens();
   }
 
   private void drop(DropReason reason) {
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestProfile.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestProfile.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 import org.marjoramsail.core.model.DaemonId;
-import org.marjoramsail.core.model.Pieces;
 import org.marjoramsail.core.model.Repeatability;
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.model.ServiceClass;
+import org.marjoramsail.core.model.StreamChunking;
 
 /**
  * What a lifecycle has to know of its request; the content itself stays in the shell.
@@ -26,7 +26,7 @@
  * @param receivedAtMillis when it arrived, on the clock of this daemon
  * @param firstTokenAtMillis when its first token is late, on the clock of this daemon
  * @param deadlineAtMillis when its answer is useless, on the clock of this daemon
- * @param pieces in which pieces its answer comes
+ * @param chunking how its output is split into chunks
  * @param countedTokens what it counts for against its organisation's limit in tokens
  */
 public record RequestProfile(
@@ -46,7 +46,7 @@
     long receivedAtMillis,
     long firstTokenAtMillis,
     long deadlineAtMillis,
-    Pieces pieces,
+    StreamChunking chunking,
     int countedTokens) {
 
   /** Copies the list, so that the value cannot change. */
@@ -89,7 +89,7 @@
         receivedAtMillis,
         firstTokenAtMillis,
         deadlineAtMillis,
-        Pieces.SINGLE_TOKENS,
+        StreamChunking.SINGLE_TOKENS,
         promptTokens + outputTokens);
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementEstimates.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementEstimates.java
@@ -119,7 +119,7 @@
 
   /** Returns the generation time of one chunk, in milliseconds. */
   double chunkMillis(PlacementRequest request) {
-    return request.pieces().tokens() * decodeMillisPerToken();
+    return request.chunking().tokens() * decodeMillisPerToken();
   }
 
   /**
@@ -127,7 +127,7 @@
    * in milliseconds.
    */
   double localPrefillMillisWithinPause(PlacementRequest request) {
-    double longest = request.pieces().longestPauseMillis() * USABLE_PAUSE_SHARE;
+    double longest = request.chunking().longestPauseMillis() * USABLE_PAUSE_SHARE;
     return (longest - chunkMillis(request)) / pauseShare.value();
   }
 
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementRequest.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementRequest.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 import java.util.Set;
 import org.marjoramsail.core.model.DaemonId;
-import org.marjoramsail.core.model.Pieces;
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.model.ServiceClass;
+import org.marjoramsail.core.model.StreamChunking;
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
@@ -34,7 +34,7 @@
  * @param alone whether it is suspected of crashing upstreams and shares one with no other suspect
  * @param content hash of what the caller sent, by which it is known again when it comes back; zero
  *     where that is of no use
- * @param pieces in which pieces its answer comes
+ * @param chunking how its output is split into chunks
  * @param countedTokens what it counts for against its organisation's limit in tokens; zero for a
  *     repeat, which was counted before
  */
@@ -57,7 +57,7 @@
     Optional<UpstreamName> kvHeldBy,
     boolean alone,
     long content,
-    Pieces pieces,
+    StreamChunking chunking,
     int countedTokens) {
 
   private static final int FIRST_ATTEMPT = 1;
@@ -104,7 +104,7 @@
         kvHeldBy,
         alone,
         0,
-        Pieces.SINGLE_TOKENS,
+        StreamChunking.SINGLE_TOKENS,
         promptTokens + outputTokens);
   }
 
@@ -161,7 +161,7 @@
         kvHeldBy,
         alone,
         content,
-        pieces,
+        chunking,
         countedTokens);
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/placement/HostsBeforeUpstreams.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/HostsBeforeUpstreams.java
@@ -12,9 +12,9 @@
 import org.marjoramsail.core.feedback.UpstreamFeedback;
 import org.marjoramsail.core.feedback.UpstreamFeedbackTable;
 import org.marjoramsail.core.model.DaemonId;
-import org.marjoramsail.core.model.Pieces;
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.model.ServiceClass;
+import org.marjoramsail.core.model.StreamChunking;
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
@@ -247,7 +247,7 @@
             Optional.empty(),
             false,
             0,
-            Pieces.SINGLE_TOKENS,
+            StreamChunking.SINGLE_TOKENS,
             0);
     act(host, host.entry.place(request, SHARD, events.now()));
   }
--- a/core/src/test/java/org/marjoramsail/core/placement/LocalPrefillOverflowTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/LocalPrefillOverflowTest.java
@@ -9,7 +9,7 @@
 import static org.marjoramsail.core.placement.PlacementFixtures.shortLivedPlacer;
 
 import org.junit.jupiter.api.Test;
-import org.marjoramsail.core.model.Pieces;
+import org.marjoramsail.core.model.StreamChunking;
 
 /**
  * Guards against prompts that wait for a busy prefill upstream while decode upstreams have free
@@ -49,10 +49,10 @@
   void aLocalPrefillIsLimitedByTheLongestPauseThatStreamsAllow() {
     fillPrefillUpstream();
 
-    Pieces strict = new Pieces(11, 300);
-    assertThat(place(request("short").pieces(strict).tokens(2_500, 100)).mode())
+    StreamChunking strict = new StreamChunking(11, 300);
+    assertThat(place(request("short").chunking(strict).tokens(2_500, 100)).mode())
         .isEqualTo(GrantMode.LOCAL_PREFILL);
-    assertThat(placer.place(request("long").pieces(strict).build(), 0)).isEmpty();
+    assertThat(placer.place(request("long").chunking(strict).build(), 0)).isEmpty();
   }
 
   @Test
--- a/core/src/test/java/org/marjoramsail/core/placement/LocalPrefillUnderLoadTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/LocalPrefillUnderLoadTest.java
@@ -13,9 +13,9 @@
 import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.marjoramsail.core.model.Pieces;
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.model.ServiceClass;
+import org.marjoramsail.core.model.StreamChunking;
 
 /**
  * Guards against an initial estimate of local prefill that is too slow, by which decode upstreams
@@ -75,7 +75,7 @@
             request(name)
                 .serviceClass(ServiceClass.TIMELY)
                 .tokens(PROMPT_TOKENS, 70)
-                .pieces(new Pieces(11, 300))
+                .chunking(new StreamChunking(11, 300))
                 .within(TARGET_MILLIS, 14_000)
                 .build(),
             events.now()),
--- a/core/src/test/java/org/marjoramsail/core/placement/OrganisationRateTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/OrganisationRateTest.java
@@ -141,7 +141,7 @@
               first.kvHeldBy(),
               first.alone(),
               0,
-              first.pieces(),
+              first.chunking(),
               0);
 
       assertThat(granted(placer.place(repeat, 1_000 + number))).hasSize(1);
--- a/core/src/test/java/org/marjoramsail/core/placement/PauseShareTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PauseShareTest.java
@@ -4,7 +4,7 @@
 import static org.marjoramsail.core.placement.PlacementFixtures.request;
 
 import org.junit.jupiter.api.Test;
-import org.marjoramsail.core.model.Pieces;
+import org.marjoramsail.core.model.StreamChunking;
 
 /**
  * Guards against one limit of local prefill for all engines: those that prefill in small chunks
@@ -17,7 +17,7 @@
   private final PlacementEstimates estimates =
       new PlacementEstimates(PlacementSettings.forShortLivedCaches());
   private final PlacementRequest request =
-      request("r").pieces(new Pieces(10, PAUSE_MILLIS)).build();
+      request("r").chunking(new StreamChunking(10, PAUSE_MILLIS)).build();
 
   @Test
   void anEngineThatPrefillsInSmallChunksMayPrefillLongPrompts() {
--- a/core/src/test/java/org/marjoramsail/core/placement/PlacementFixtures.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PlacementFixtures.java
@@ -11,9 +11,9 @@
 import org.marjoramsail.core.configuration.ServiceKind;
 import org.marjoramsail.core.configuration.UpstreamDefinition;
 import org.marjoramsail.core.model.DaemonId;
-import org.marjoramsail.core.model.Pieces;
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.model.ServiceClass;
+import org.marjoramsail.core.model.StreamChunking;
 import org.marjoramsail.core.model.UpstreamName;
 import org.marjoramsail.core.model.UpstreamRole;
 
@@ -168,7 +168,7 @@
         Optional.empty(),
         false,
         content,
-        Pieces.SINGLE_TOKENS,
+        StreamChunking.SINGLE_TOKENS,
         0);
   }
 
@@ -234,7 +234,7 @@
     private List<UpstreamName> avoid = List.of();
     private Optional<UpstreamName> kvHeldBy = Optional.empty();
     private boolean alone;
-    private Pieces pieces = new Pieces(11, 450);
+    private StreamChunking chunking = new StreamChunking(11, 450);
 
     RequestBuilder(String name) {
       this.name = name;
@@ -287,8 +287,8 @@
       return this;
     }
 
-    RequestBuilder pieces(Pieces value) {
-      pieces = value;
+    RequestBuilder chunking(StreamChunking value) {
+      chunking = value;
       return this;
     }
 
@@ -316,7 +316,7 @@
           kvHeldBy,
           alone,
           0,
-          pieces,
+          chunking,
           promptTokens + outputTokens);
     }
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -20,9 +20,9 @@
 import org.marjoramsail.core.failure.Refusal;
 import org.marjoramsail.core.failure.RefusalReason;
 import org.marjoramsail.core.model.Incarnation;
-import org.marjoramsail.core.model.Pieces;
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.model.ServiceClass;
+import org.marjoramsail.core.model.StreamChunking;
 import org.marjoramsail.core.outcome.Fingerprint;
 import org.marjoramsail.core.outcome.RequestProfile;
 import org.marjoramsail.core.routing.CallerAccess;
@@ -318,7 +318,7 @@
         receivedAtMillis,
         ForwardingRules.targetAtMillis(route, receivedAtMillis),
         ForwardingRules.deadlineAtMillis(route, receivedAtMillis, terms.withinMillis()),
-        new Pieces(dependencies.tokensPerEvent().apply(service), route.gapTargetMillis()),
+        new StreamChunking(dependencies.tokensPerEvent().apply(service), route.gapTargetMillis()),
         arrival
             .organisation()
             .map(holder -> holder.countedTokens(terms.promptTokens(), terms.outputTokens()))
