--- a/core/src/main/java/org/marjoramsail/core/placement/EntryAction.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/EntryAction.java
@@ -20,5 +20,5 @@
    * @param request the request
    * @param result the grant or the refusal
    */
-  record Answer(RequestId request, PlacementResult result) implements EntryAction {}
+  record Complete(RequestId request, PlacementResult result) implements EntryAction {}
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/EntryPlacement.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/EntryPlacement.java
@@ -27,7 +27,7 @@
  */
 public final class EntryPlacement {
 
-  private static final class Entry {
+  private static final class TrackedAttempt {
     private final PlacementRequest request;
     private final ShardId shard;
     private final long placedMillis;
@@ -35,7 +35,7 @@
     private Optional<Grant> grant = Optional.empty();
     private AttemptPhase phase = AttemptPhase.PREFILLING;
 
-    Entry(PlacementRequest request, ShardId shard, DaemonId owner, long placedMillis) {
+    TrackedAttempt(PlacementRequest request, ShardId shard, DaemonId owner, long placedMillis) {
       this.request = request;
       this.shard = shard;
       this.owner = owner;
@@ -53,9 +53,9 @@
   private final PlacementTimings timings;
   private final ShardDirectory directory;
   private final UnresponsiveOwners unresponsiveOwners;
-  private final UpstreamFeedbackTable conditions;
-  private final Map<RequestId, Entry> entries = new LinkedHashMap<>();
-  private final Map<OwnedShard, Long> toldAt = new HashMap<>();
+  private final UpstreamFeedbackTable feedback;
+  private final Map<RequestId, TrackedAttempt> attempts = new LinkedHashMap<>();
+  private final Map<OwnedShard, Long> lastHoldingsMillis = new HashMap<>();
 
   /**
    * Creates the entry side of one daemon.
@@ -69,58 +69,58 @@
       DaemonId self,
       PlacementTimings timings,
       ShardDirectory directory,
-      UpstreamFeedbackTable conditions) {
+      UpstreamFeedbackTable feedback) {
     this.self = self;
     this.timings = timings;
     this.directory = directory;
-    this.conditions = conditions;
+    this.feedback = feedback;
     this.unresponsiveOwners = new UnresponsiveOwners(timings);
   }
 
   /** Registers an attempt with the owner of its shard. */
   public List<EntryAction> place(PlacementRequest request, ShardId shard, long nowMillis) {
     List<EntryAction> actions = new ArrayList<>();
-    Entry earlier = entries.remove(request.request());
-    if (earlier != null) {
-      actions.add(withdrawal(earlier));
+    TrackedAttempt previous = attempts.remove(request.request());
+    if (previous != null) {
+      actions.add(withdrawal(previous));
     }
     Map<UpstreamName, Long> paused = pausedIn(shard, nowMillis);
-    Entry entry =
-        new Entry(
+    TrackedAttempt attempt =
+        new TrackedAttempt(
             request.avoidingToo(paused.keySet()), shard, ownerOf(shard, nowMillis), nowMillis);
-    entries.put(request.request(), entry);
-    actions.add(registration(entry, nowMillis));
+    attempts.put(request.request(), attempt);
+    actions.add(registration(attempt, nowMillis));
     return actions;
   }
 
   /** Passes on what becomes of a granted attempt; an attempt that is not held is ignored. */
   public List<EntryAction> report(AttemptReport report, long nowMillis) {
-    Entry entry = entries.get(report.request());
-    if (entry == null || entry.request.attempt() != report.attempt()) {
+    TrackedAttempt attempt = attempts.get(report.request());
+    if (attempt == null || attempt.request.attempt() != report.attempt()) {
       return List.of();
     }
-    entry.phase = report.phase();
+    attempt.phase = report.phase();
     if (report.phase() == AttemptPhase.ENDED) {
-      entries.remove(report.request());
+      attempts.remove(report.request());
     }
     return List.of(
         new EntryAction.Send(
-            entry.owner,
+            attempt.owner,
             new PlacementMessage.Report(
-                entry.shard, report, conditionsOf(entry.shard, nowMillis))));
+                attempt.shard, report, feedbackOf(attempt.shard, nowMillis))));
   }
 
   /** Gives up a request, whether it waits or was granted. */
   public List<EntryAction> withdraw(RequestId request) {
-    Entry entry = entries.remove(request);
-    if (entry == null) {
+    TrackedAttempt attempt = attempts.remove(request);
+    if (attempt == null) {
       return List.of();
     }
-    return List.of(withdrawal(entry));
+    return List.of(withdrawal(attempt));
   }
 
   /** Handles the word of an owner. */
-  public List<EntryAction> heard(DaemonId from, PlacementMessage message, long nowMillis) {
+  public List<EntryAction> handle(DaemonId from, PlacementMessage message, long nowMillis) {
     unresponsiveOwners.responded(from);
     if (message instanceof PlacementMessage.Granted granted) {
       return granted(from, granted);
@@ -135,68 +135,68 @@
   }
 
   /** Records that the connection to a daemon is gone: its shards move at once. */
-  public List<EntryAction> lost(DaemonId owner, long nowMillis) {
+  public List<EntryAction> ownerDisconnected(DaemonId owner, long nowMillis) {
     unresponsiveOwners.disconnected(owner, nowMillis);
-    return move(nowMillis);
+    return moveToCurrentOwners(nowMillis);
   }
 
   /** Moves attempts whose owner changed or fell silent, and repeats holdings that are due. */
   public List<EntryAction> tick(long nowMillis) {
-    List<EntryAction> actions = move(nowMillis);
+    List<EntryAction> actions = moveToCurrentOwners(nowMillis);
     actions.addAll(holdingsDue(nowMillis));
-    unresponsiveOwners.forgetExpired(nowMillis);
+    unresponsiveOwners.removeExpired(nowMillis);
     return actions;
   }
 
   /** How many attempts are held or waited for. */
   public int size() {
-    return entries.size();
+    return attempts.size();
   }
 
   private List<EntryAction> granted(DaemonId from, PlacementMessage.Granted granted) {
     Grant grant = granted.grant();
-    Entry entry = entries.get(grant.request());
-    boolean wanted =
-        entry != null
-            && entry.owner.equals(from)
-            && entry.request.attempt() == grant.attempt()
-            && (entry.grant.isEmpty() || entry.grant.get().equals(grant));
-    if (!wanted) {
+    TrackedAttempt attempt = attempts.get(grant.request());
+    boolean isExpected =
+        attempt != null
+            && attempt.owner.equals(from)
+            && attempt.request.attempt() == grant.attempt()
+            && (attempt.grant.isEmpty() || attempt.grant.get().equals(grant));
+    if (!isExpected) {
       // A grant that crossed a withdrawal or came from a former owner would hold its slots until
       // the owner forgets it; giving it back frees them after one message.
       return List.of(withdrawal(from, granted.shard(), grant.request(), grant.attempt()));
     }
-    if (entry.grant.isPresent()) {
+    if (attempt.grant.isPresent()) {
       return List.of();
     }
-    entry.grant = Optional.of(grant);
+    attempt.grant = Optional.of(grant);
     return List.of(
-        new EntryAction.Answer(grant.request(), new PlacementResult.Granted(self, grant)));
+        new EntryAction.Complete(grant.request(), new PlacementResult.Granted(self, grant)));
   }
 
   private List<EntryAction> refused(
       DaemonId from, PlacementMessage.Refused refused, long nowMillis) {
-    Entry entry = entries.get(refused.request());
-    boolean wanted =
-        entry != null
-            && entry.owner.equals(from)
-            && entry.grant.isEmpty()
-            && entry.request.attempt() == refused.attempt();
-    if (!wanted) {
+    TrackedAttempt attempt = attempts.get(refused.request());
+    boolean isExpected =
+        attempt != null
+            && attempt.owner.equals(from)
+            && attempt.grant.isEmpty()
+            && attempt.request.attempt() == refused.attempt();
+    if (!isExpected) {
       return List.of();
     }
-    entries.remove(refused.request());
+    attempts.remove(refused.request());
     PlacementResult result =
         new PlacementResult.Refused(
             self,
             refused.request(),
             refused.attempt(),
-            untilAPauseEnds(refused.refusal(), entry.shard, nowMillis));
-    return List.of(new EntryAction.Answer(refused.request(), result));
+            withRetryAfterFirstPause(refused.refusal(), attempt.shard, nowMillis));
+    return List.of(new EntryAction.Complete(refused.request(), result));
   }
 
   /** Where only pauses are in the way, a caller comes back when the first of them ends. */
-  private Refusal untilAPauseEnds(Refusal refusal, ShardId shard, long nowMillis) {
+  private Refusal withRetryAfterFirstPause(Refusal refusal, ShardId shard, long nowMillis) {
     if (refusal.reason() != RefusalReason.NO_UPSTREAM) {
       return refusal;
     }
@@ -207,87 +207,88 @@
   }
 
   private Map<UpstreamName, Long> pausedIn(ShardId shard, long nowMillis) {
-    return conditions.pausedUntil(directory.upstreamsOf(shard), nowMillis);
+    return feedback.pausedUntil(directory.upstreamsOf(shard), nowMillis);
   }
 
   private List<EntryAction> registerAgain(
       DaemonId from, PlacementMessage.Unknown unknown, long nowMillis) {
     List<EntryAction> actions = new ArrayList<>();
     for (Holding holding : unknown.unknown()) {
-      Entry entry = entries.get(holding.request());
-      if (entry != null && entry.owner.equals(from) && entry.holding().equals(holding)) {
-        actions.add(registration(entry, nowMillis));
+      TrackedAttempt attempt = attempts.get(holding.request());
+      if (attempt != null && attempt.owner.equals(from) && attempt.holding().equals(holding)) {
+        actions.add(registration(attempt, nowMillis));
       }
     }
     return actions;
   }
 
-  private List<EntryAction> move(long nowMillis) {
+  private List<EntryAction> moveToCurrentOwners(long nowMillis) {
     List<EntryAction> actions = new ArrayList<>();
     Map<ShardId, DaemonId> owners = new HashMap<>();
-    for (Entry entry : entries.values()) {
-      DaemonId owner = owners.computeIfAbsent(entry.shard, shard -> ownerOf(shard, nowMillis));
-      if (!owner.equals(entry.owner)) {
-        entry.owner = owner;
-        actions.add(registration(entry, nowMillis));
+    for (TrackedAttempt attempt : attempts.values()) {
+      DaemonId owner = owners.computeIfAbsent(attempt.shard, shard -> ownerOf(shard, nowMillis));
+      if (!owner.equals(attempt.owner)) {
+        attempt.owner = owner;
+        actions.add(registration(attempt, nowMillis));
       }
     }
     return actions;
   }
 
   private List<EntryAction> holdingsDue(long nowMillis) {
-    Map<OwnedShard, List<Entry>> byOwner = new LinkedHashMap<>();
-    for (Entry entry : entries.values()) {
+    Map<OwnedShard, List<TrackedAttempt>> byOwner = new LinkedHashMap<>();
+    for (TrackedAttempt attempt : attempts.values()) {
       byOwner
-          .computeIfAbsent(new OwnedShard(entry.owner, entry.shard), key -> new ArrayList<>())
-          .add(entry);
+          .computeIfAbsent(new OwnedShard(attempt.owner, attempt.shard), key -> new ArrayList<>())
+          .add(attempt);
     }
-    toldAt.keySet().retainAll(byOwner.keySet());
+    lastHoldingsMillis.keySet().retainAll(byOwner.keySet());
     List<EntryAction> actions = new ArrayList<>();
     byOwner.forEach(
         (key, held) -> {
-          long lastTold = toldAt.computeIfAbsent(key, unused -> nowMillis);
-          boolean waiting = held.stream().anyMatch(entry -> entry.grant.isEmpty());
+          long lastSent = lastHoldingsMillis.computeIfAbsent(key, unused -> nowMillis);
+          boolean waiting = held.stream().anyMatch(attempt -> attempt.grant.isEmpty());
           long period = waiting ? timings.holdingsMillis() : timings.quietHoldingsMillis();
-          if (nowMillis - lastTold >= period) {
-            toldAt.put(key, nowMillis);
-            List<Holding> holdings = held.stream().map(Entry::holding).toList();
+          if (nowMillis - lastSent >= period) {
+            lastHoldingsMillis.put(key, nowMillis);
+            List<Holding> holdings = held.stream().map(TrackedAttempt::holding).toList();
             actions.add(
-                ask(key.owner(), new PlacementMessage.Holdings(key.shard(), holdings), nowMillis));
+                sendRequest(
+                    key.owner(), new PlacementMessage.Holdings(key.shard(), holdings), nowMillis));
           }
         });
     return actions;
   }
 
-  private EntryAction registration(Entry entry, long nowMillis) {
-    PlacementRequest request = aged(entry, nowMillis);
-    if (entry.grant.isPresent()) {
-      return ask(
-          entry.owner,
+  private EntryAction registration(TrackedAttempt attempt, long nowMillis) {
+    PlacementRequest request = withElapsedTime(attempt, nowMillis);
+    if (attempt.grant.isPresent()) {
+      return sendRequest(
+          attempt.owner,
           new PlacementMessage.Restore(
-              entry.shard,
+              attempt.shard,
               request,
-              entry.grant.get(),
-              entry.phase,
-              conditionsOf(entry.shard, nowMillis)),
+              attempt.grant.get(),
+              attempt.phase,
+              feedbackOf(attempt.shard, nowMillis)),
           nowMillis);
     }
-    return ask(
-        entry.owner,
-        new PlacementMessage.Place(entry.shard, request, conditionsOf(entry.shard, nowMillis)),
+    return sendRequest(
+        attempt.owner,
+        new PlacementMessage.Place(attempt.shard, request, feedbackOf(attempt.shard, nowMillis)),
         nowMillis);
   }
 
-  private List<RelayedFeedback> conditionsOf(ShardId shard, long nowMillis) {
-    return conditions.toRelay(directory.upstreamsOf(shard), nowMillis);
+  private List<RelayedFeedback> feedbackOf(ShardId shard, long nowMillis) {
+    return feedback.toRelay(directory.upstreamsOf(shard), nowMillis);
   }
 
-  private static PlacementRequest aged(Entry entry, long nowMillis) {
-    long passed = nowMillis - entry.placedMillis;
-    return passed == 0 ? entry.request : entry.request.laterBy(passed);
+  private static PlacementRequest withElapsedTime(TrackedAttempt attempt, long nowMillis) {
+    long elapsed = nowMillis - attempt.placedMillis;
+    return elapsed == 0 ? attempt.request : attempt.request.laterBy(elapsed);
   }
 
-  private EntryAction ask(DaemonId owner, PlacementMessage message, long nowMillis) {
+  private EntryAction sendRequest(DaemonId owner, PlacementMessage message, long nowMillis) {
     if (!owner.equals(self)) {
       unresponsiveOwners.requested(owner, nowMillis);
     }
@@ -296,15 +297,16 @@
 
   private DaemonId ownerOf(ShardId shard, long nowMillis) {
     for (DaemonId owner : directory.owners(shard)) {
-      if (owner.equals(self) || !unresponsiveOwners.isSilent(owner, nowMillis)) {
+      if (owner.equals(self) || !unresponsiveOwners.isUnresponsive(owner, nowMillis)) {
         return owner;
       }
     }
     return self;
   }
 
-  private static EntryAction withdrawal(Entry entry) {
-    return withdrawal(entry.owner, entry.shard, entry.request.request(), entry.request.attempt());
+  private static EntryAction withdrawal(TrackedAttempt attempt) {
+    return withdrawal(
+        attempt.owner, attempt.shard, attempt.request.request(), attempt.request.attempt());
   }
 
   private static EntryAction withdrawal(
--- a/core/src/main/java/org/marjoramsail/core/placement/UnresponsiveOwners.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UnresponsiveOwners.java
@@ -15,7 +15,7 @@
 
   private final PlacementTimings timings;
   private final Map<DaemonId, Long> unansweredSince = new HashMap<>();
-  private final Map<DaemonId, Long> silentUntil = new HashMap<>();
+  private final Map<DaemonId, Long> skippedUntil = new HashMap<>();
 
   UnresponsiveOwners(PlacementTimings timings) {
     this.timings = timings;
@@ -32,11 +32,11 @@
   /** Records that the connection to an owner is gone, which tells more than waiting does. */
   void disconnected(DaemonId owner, long nowMillis) {
     unansweredSince.remove(owner);
-    silentUntil.put(owner, nowMillis + timings.silenceHoldMillis());
+    skippedUntil.put(owner, nowMillis + timings.silenceHoldMillis());
   }
 
-  boolean isSilent(DaemonId owner, long nowMillis) {
-    Long until = silentUntil.get(owner);
+  boolean isUnresponsive(DaemonId owner, long nowMillis) {
+    Long until = skippedUntil.get(owner);
     if (until != null && nowMillis < until) {
       return true;
     }
@@ -48,7 +48,7 @@
     return true;
   }
 
-  void forgetExpired(long nowMillis) {
-    silentUntil.values().removeIf(until -> until <= nowMillis);
+  void removeExpired(long nowMillis) {
+    skippedUntil.values().removeIf(until -> until <= nowMillis);
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/placement/HostsBeforeUpstreams.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/HostsBeforeUpstreams.java
@@ -134,7 +134,7 @@
     hosts.put(after, born);
     toldAt.values().forEach(told -> told.remove(before));
     for (Host host : living()) {
-      act(host, host.entry.lost(before, events.now()));
+      act(host, host.entry.ownerDisconnected(before, events.now()));
       host.coordinator.ifPresent(
           coordinator -> send(host, coordinator.daemonFailed(before, events.now())));
     }
@@ -268,7 +268,7 @@
     for (EntryAction action : actions) {
       if (action instanceof EntryAction.Send send) {
         post(host.id, send.to(), send.message());
-      } else if (action instanceof EntryAction.Answer answer) {
+      } else if (action instanceof EntryAction.Complete answer) {
         answered(host, answer.result());
       }
     }
@@ -297,7 +297,7 @@
     if (isForOwner) {
       send(host, coordinatorOf(host).handle(from, message, events.now()));
     } else {
-      act(host, host.entry.heard(from, message, events.now()));
+      act(host, host.entry.handle(from, message, events.now()));
     }
   }
 
--- a/core/src/test/java/org/marjoramsail/core/placement/SoftOwnershipFuzzTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/SoftOwnershipFuzzTest.java
@@ -150,7 +150,7 @@
       if (toOwner) {
         send(envelope.to(), coordinators.get(envelope.to()).handle(envelope.from(), message, now));
       } else {
-        act(envelope.to(), entries.get(envelope.to()).heard(envelope.from(), message, now));
+        act(envelope.to(), entries.get(envelope.to()).handle(envelope.from(), message, now));
       }
     }
 
@@ -158,7 +158,7 @@
       for (EntryAction action : actions) {
         if (action instanceof EntryAction.Send send) {
           post(entry, send.to(), send.message());
-        } else if (action instanceof EntryAction.Answer answer) {
+        } else if (action instanceof EntryAction.Complete answer) {
           assertThat(answered.add(answer.request())).as("answered once").isTrue();
           assertThat(waiting.remove(answer.request())).as("was waiting").isEqualTo(entry);
           granted.put(answer.request(), entry);
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/DistributedPlacement.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/DistributedPlacement.java
@@ -145,7 +145,7 @@
     }
     List<EntryAction> actions;
     synchronized (entryLock) {
-      actions = entry.heard(from, message, clock.millis());
+      actions = entry.handle(from, message, clock.millis());
     }
     act(actions);
   }
@@ -154,7 +154,7 @@
   public void connectionLost(DaemonId daemon) {
     List<EntryAction> actions;
     synchronized (entryLock) {
-      actions = entry.lost(daemon, clock.millis());
+      actions = entry.ownerDisconnected(daemon, clock.millis());
     }
     act(actions);
   }
@@ -377,13 +377,13 @@
     for (EntryAction action : actions) {
       if (action instanceof EntryAction.Send send) {
         send(send.to(), send.message());
-      } else if (action instanceof EntryAction.Answer answer) {
+      } else if (action instanceof EntryAction.Complete answer) {
         answer(answer);
       }
     }
   }
 
-  private void answer(EntryAction.Answer answer) {
+  private void answer(EntryAction.Complete answer) {
     Consumer<PlacementResult> callback = callbacks.remove(answer.request());
     if (callback != null) {
       callback.accept(answer.result());
