--- a/core/src/main/java/org/marjoramsail/core/placement/EntryPlacement.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/EntryPlacement.java
@@ -248,7 +248,7 @@
         (key, held) -> {
           long lastSent = lastHoldingsMillis.computeIfAbsent(key, unused -> nowMillis);
           boolean waiting = held.stream().anyMatch(attempt -> attempt.grant.isEmpty());
-          long period = waiting ? timings.holdingsMillis() : timings.quietHoldingsMillis();
+          long period = waiting ? timings.holdingsMillis() : timings.idleHoldingsMillis();
           if (nowMillis - lastSent >= period) {
             lastHoldingsMillis.put(key, nowMillis);
             List<Holding> holdings = held.stream().map(TrackedAttempt::holding).toList();
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementTimings.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementTimings.java
@@ -5,18 +5,18 @@
  *
  * @param holdingsMillis how often an entry repeats what it holds to an owner with whom something
  *     waits
- * @param quietHoldingsMillis the same where everything is granted
- * @param silenceMillis how long an owner may leave an entry unanswered before the entry turns to
- *     the next in rank
- * @param silenceHoldMillis how long an owner that was silent is passed over
- * @param forgetMillis how long an owner keeps an attempt of which its entry says nothing
+ * @param idleHoldingsMillis the same where everything is granted
+ * @param responseTimeoutMillis how long an owner may leave an entry unanswered before the entry
+ *     turns to the next in rank
+ * @param skipMillis how long an owner that was silent is passed over
+ * @param expiryMillis how long an owner keeps an attempt of which its entry says nothing
  */
 public record PlacementTimings(
     long holdingsMillis,
-    long quietHoldingsMillis,
-    long silenceMillis,
-    long silenceHoldMillis,
-    long forgetMillis) {
+    long idleHoldingsMillis,
+    long responseTimeoutMillis,
+    long skipMillis,
+    long expiryMillis) {
 
   /** The timings of a deployment: an owner's death is noticed within 0.9 s. */
   public static PlacementTimings standard() {
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardCoordinator.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardCoordinator.java
@@ -276,7 +276,7 @@
     Map<RequestId, Integer> expired = new HashMap<>();
     registrations.forEach(
         (request, registration) -> {
-          if (nowMillis - registration.lastMessageMillis > timings.forgetMillis()) {
+          if (nowMillis - registration.lastMessageMillis > timings.expiryMillis()) {
             expired.put(request, registration.attempt);
           }
         });
--- a/core/src/main/java/org/marjoramsail/core/placement/UnresponsiveOwners.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UnresponsiveOwners.java
@@ -32,7 +32,7 @@
   /** Records that the connection to an owner is gone, which tells more than waiting does. */
   void disconnected(DaemonId owner, long nowMillis) {
     unansweredSince.remove(owner);
-    skippedUntil.put(owner, nowMillis + timings.silenceHoldMillis());
+    skippedUntil.put(owner, nowMillis + timings.skipMillis());
   }
 
   boolean isUnresponsive(DaemonId owner, long nowMillis) {
@@ -41,7 +41,7 @@
       return true;
     }
     Long since = unansweredSince.get(owner);
-    if (since == null || nowMillis - since < timings.silenceMillis()) {
+    if (since == null || nowMillis - since < timings.responseTimeoutMillis()) {
       return false;
     }
     disconnected(owner, nowMillis);
--- a/core/src/test/java/org/marjoramsail/core/placement/ShardCoordinatorTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/ShardCoordinatorTest.java
@@ -58,9 +58,9 @@
   void anAttemptThatItsEntryDaemonNoLongerReportsIsReleasedAfterItsExpiry() {
     place("first");
 
-    coordinator.tick(PlacementTimings.standard().forgetMillis());
+    coordinator.tick(PlacementTimings.standard().expiryMillis());
     assertThat(placer.held()).isEqualTo(1);
-    coordinator.tick(2 * PlacementTimings.standard().forgetMillis());
+    coordinator.tick(2 * PlacementTimings.standard().expiryMillis());
 
     assertThat(placer.held()).isZero();
   }
