--- a/core/src/main/java/org/marjoramsail/core/placement/Placer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/Placer.java
@@ -71,7 +71,7 @@
   List<PlacementResult> tick(long nowMillis);
 
   /** An engine that should change its role, if the policy looks after roles. */
-  default Optional<RoleChange> wantedRoleChange(long nowMillis) {
+  default Optional<RoleChange> recommendedRoleChange(long nowMillis) {
     return Optional.empty();
   }
 
--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -235,8 +235,8 @@
   }
 
   @Override
-  public Optional<RoleChange> wantedRoleChange(long nowMillis) {
-    return roles.wanted(nowMillis);
+  public Optional<RoleChange> recommendedRoleChange(long nowMillis) {
+    return roles.recommend(nowMillis);
   }
 
   @Override
--- a/core/src/main/java/org/marjoramsail/core/placement/RoleAdvisor.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/RoleAdvisor.java
@@ -15,7 +15,7 @@
    * <p>A pool that waited for its first answers before it moved an engine went into the first burst
    * with one engine of six on its way, and moved it while streams were refused.
    */
-  private static final int LEAST_GRANTS = 6;
+  private static final int MINIMUM_GRANTS = 6;
 
   private final ShardUpstreams upstreams;
   private final PlacementEstimates estimates;
@@ -28,23 +28,25 @@
   }
 
   /** The engine that would serve more in the other role, if there is one. */
-  Optional<RoleChange> wanted(long nowMillis) {
-    if (estimates.grants() < LEAST_GRANTS) {
+  Optional<RoleChange> recommend(long nowMillis) {
+    if (estimates.grants() < MINIMUM_GRANTS) {
       return Optional.empty();
     }
-    List<UpstreamState> readers = usable(UpstreamRole.PREFILL, nowMillis);
-    List<UpstreamState> writers = usable(UpstreamRole.DECODE, nowMillis);
-    if (readers.isEmpty() || writers.isEmpty()) {
+    List<UpstreamState> prefillUpstreams = usable(UpstreamRole.PREFILL, nowMillis);
+    List<UpstreamState> decodeUpstreams = usable(UpstreamRole.DECODE, nowMillis);
+    if (prefillUpstreams.isEmpty() || decodeUpstreams.isEmpty()) {
       return Optional.empty();
     }
-    int engines = readers.size() + writers.size();
-    int best = RoleBalance.bestReaders(engines, readers.size(), rates(readers, writers));
-    if (best == readers.size()) {
+    int engines = prefillUpstreams.size() + decodeUpstreams.size();
+    int bestPrefillCount =
+        RoleBalance.bestPrefillCount(
+            engines, prefillUpstreams.size(), rates(prefillUpstreams, decodeUpstreams));
+    if (bestPrefillCount == prefillUpstreams.size()) {
       return Optional.empty();
     }
-    return best < readers.size()
-        ? leastBusy(readers, UpstreamRole.DECODE)
-        : leastBusy(writers, UpstreamRole.PREFILL);
+    return bestPrefillCount < prefillUpstreams.size()
+        ? leastBusy(prefillUpstreams, UpstreamRole.DECODE)
+        : leastBusy(decodeUpstreams, UpstreamRole.PREFILL);
   }
 
   private List<UpstreamState> usable(UpstreamRole role, long nowMillis) {
@@ -57,20 +59,21 @@
     return found;
   }
 
-  private RoleBalance.Rates rates(List<UpstreamState> readers, List<UpstreamState> writers) {
-    double readMillis = 0;
-    for (UpstreamState reader : readers) {
-      readMillis += reader.prefillMillis((int) estimates.promptTokens());
+  private RoleBalance.Rates rates(
+      List<UpstreamState> prefillUpstreams, List<UpstreamState> decodeUpstreams) {
+    double prefillMillis = 0;
+    for (UpstreamState upstream : prefillUpstreams) {
+      prefillMillis += upstream.prefillMillis((int) estimates.promptTokens());
     }
-    double held = 0;
-    for (UpstreamState writer : writers) {
-      held += writer.slotsFor(estimates.heldTokens());
+    double concurrentRequests = 0;
+    for (UpstreamState upstream : decodeUpstreams) {
+      concurrentRequests += upstream.slotsFor(estimates.heldTokens());
     }
-    double reads = readers.size() / readMillis;
-    double readsBeside =
-        settings.localPrefillWhenBusy() ? reads / settings.localPrefillSlowdown() : 0;
-    double ends = held / writers.size() / estimates.generationMillis();
-    return new RoleBalance.Rates(reads, readsBeside, ends);
+    double prefillRate = prefillUpstreams.size() / prefillMillis;
+    double localPrefillRate =
+        settings.localPrefillWhenBusy() ? prefillRate / settings.localPrefillSlowdown() : 0;
+    double decodeRate = concurrentRequests / decodeUpstreams.size() / estimates.generationMillis();
+    return new RoleBalance.Rates(prefillRate, localPrefillRate, decodeRate);
   }
 
   private static Optional<RoleChange> leastBusy(List<UpstreamState> among, UpstreamRole role) {
--- a/core/src/main/java/org/marjoramsail/core/placement/RoleBalance.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/RoleBalance.java
@@ -11,13 +11,13 @@
 final class RoleBalance {
 
   /** A change takes an engine out for seconds, so it has to bring at least this much more. */
-  private static final double LEAST_GAIN = 1.12;
+  private static final double MINIMUM_GAIN = 1.12;
 
   /**
    * An engine that generates is taken out only for more: the estimates of reading move with each
    * burst, and engines that go to and fro with them are out for half of the time.
    */
-  private static final double LEAST_GAIN_OF_READERS = 1.6;
+  private static final double MINIMUM_GAIN_OF_PREFILL = 1.6;
 
   private RoleBalance() {}
 
@@ -29,15 +29,15 @@
    * @param rates what one engine does
    * @return {@code reading} where another number brings too little
    */
-  static int bestReaders(int engines, int reading, Rates rates) {
-    int best = reading;
-    double now = rates.ofPool(engines, reading);
-    double bestRate = now;
-    for (int readers = 1; readers < engines; readers++) {
-      double rate = rates.ofPool(engines, readers);
-      double leastGain = readers > reading ? LEAST_GAIN_OF_READERS : LEAST_GAIN;
-      if (rate > bestRate && rate >= now * leastGain) {
-        best = readers;
+  static int bestPrefillCount(int engines, int prefillCount, Rates rates) {
+    int best = prefillCount;
+    double currentRate = rates.ofPool(engines, prefillCount);
+    double bestRate = currentRate;
+    for (int candidate = 1; candidate < engines; candidate++) {
+      double rate = rates.ofPool(engines, candidate);
+      double minimumGain = candidate > prefillCount ? MINIMUM_GAIN_OF_PREFILL : MINIMUM_GAIN;
+      if (rate > bestRate && rate >= currentRate * minimumGain) {
+        best = candidate;
         bestRate = rate;
       }
     }
@@ -52,7 +52,7 @@
    *     decode engines read none
    * @param ends answers that a decode engine ends while it reads none
    */
-  record Rates(double reads, double readsBeside, double ends) {
+  record Rates(double prefillRate, double localPrefillRate, double decodeRate) {
 
     /**
      * Requests that a pool serves in a millisecond.
@@ -60,10 +60,12 @@
      * <p>What the prefill engines leave unread the decode engines read, and have the less time for
      * answers: with {@code x} served, each spends {@code (x - read) / readsBeside} of its time so.
      */
-    double ofPool(int engines, int readers) {
-      double read = readers * reads;
-      double ended = (engines - readers) * ends;
-      return read >= ended ? ended : (ended * readsBeside + ends * read) / (readsBeside + ends);
+    double ofPool(int engines, int prefillCount) {
+      double prefilled = prefillCount * prefillRate;
+      double decoded = (engines - prefillCount) * decodeRate;
+      return prefilled >= decoded
+          ? decoded
+          : (decoded * localPrefillRate + decodeRate * prefilled) / (localPrefillRate + decodeRate);
     }
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardCoordinator.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardCoordinator.java
@@ -153,8 +153,8 @@
   }
 
   /** An engine that should change its role, if there is one. */
-  public Optional<RoleChange> wantedRoleChange(long nowMillis) {
-    return placer.wantedRoleChange(nowMillis);
+  public Optional<RoleChange> recommendedRoleChange(long nowMillis) {
+    return placer.recommendedRoleChange(nowMillis);
   }
 
   /** Whether something waits here for a place. */
--- a/core/src/test/java/org/marjoramsail/core/placement/RoleAdvisorTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/RoleAdvisorTest.java
@@ -18,21 +18,23 @@
    * then: the owner had waited for a dozen answers of four seconds each before it looked.
    */
   @Test
-  void aReaderIsTurnedAsSoonAsTheSizesOfRequestsAreKnown() {
+  void aPrefillUpstreamIsReassignedAsSoonAsRequestSizesAreKnown() {
     for (int number = 0; number < 5; number++) {
-      read("r" + number, number * 200L);
+      placeAndStart("r" + number, number * 200L);
     }
-    assertThat(placer.wantedRoleChange(1_000)).isEmpty();
+    assertThat(placer.recommendedRoleChange(1_000)).isEmpty();
 
-    read("r5", 1_000);
+    placeAndStart("r5", 1_000);
 
-    assertThat(placer.wantedRoleChange(1_200)).map(RoleChange::role).contains(UpstreamRole.DECODE);
+    assertThat(placer.recommendedRoleChange(1_200))
+        .map(RoleChange::role)
+        .contains(UpstreamRole.DECODE);
   }
 
   /** A reader that was given two prompts at once looked half as fast as it is. */
   @Test
-  void theWaitBehindAnotherPromptIsNotTakenForReading() {
-    UpstreamState reader =
+  void theWaitForAnotherPrefillIsNotCountedAsPrefillTime() {
+    UpstreamState upstream =
         new UpstreamState(
             PlacementFixtures.upstream("lector", "p", UpstreamRole.PREFILL, 48),
             PlacementSettings.forShortLivedCaches(),
@@ -40,14 +42,14 @@
             new PrefillRate(PlacementSettings.forShortLivedCaches()),
             new PlainOccupancy());
     for (long end = 200; end <= 20_000; end += 100) {
-      reader.endPrefill(0, end - 100);
-      reader.learnPrefill(3_000, 200, end);
+      upstream.endPrefill(0, end - 100);
+      upstream.learnPrefill(3_000, 200, end);
     }
 
-    assertThat(reader.prefillMillis(3_000)).isBetween(98.0, 102.0);
+    assertThat(upstream.prefillMillis(3_000)).isBetween(98.0, 102.0);
   }
 
-  private void read(String name, long nowMillis) {
+  private void placeAndStart(String name, long nowMillis) {
     placer.place(request(name).tokens(3_100, 800).build(), nowMillis);
     placer.report(progress(name, 1, AttemptPhase.GENERATING), nowMillis + 100);
   }
--- a/core/src/test/java/org/marjoramsail/core/placement/RoleBalanceTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/RoleBalanceTest.java
@@ -10,40 +10,40 @@
  */
 class RoleBalanceTest {
 
-  private static final double READS = 9 / 1_000.0;
-  private static final double ENDS = 2.2 / 1_000.0;
+  private static final double PREFILL_RATE = 9 / 1_000.0;
+  private static final double DECODE_RATE = 2.2 / 1_000.0;
 
   @Test
-  void readersThatAreIdleAreOfMoreUseGenerating() {
-    assertThat(bestReaders(10, 4, READS, ENDS)).isEqualTo(2);
+  void idlePrefillEnginesAreBetterUsedForDecoding() {
+    assertThat(bestPrefillCount(10, 4, PREFILL_RATE, DECODE_RATE)).isEqualTo(2);
   }
 
   @Test
-  void aBalancedPoolIsLeftAlone() {
-    assertThat(bestReaders(10, 2, READS, ENDS)).isEqualTo(2);
-    assertThat(bestReaders(6, 2, READS, 3.2 / 1_000)).isEqualTo(2);
+  void aBalancedPoolIsNotChanged() {
+    assertThat(bestPrefillCount(10, 2, PREFILL_RATE, DECODE_RATE)).isEqualTo(2);
+    assertThat(bestPrefillCount(6, 2, PREFILL_RATE, 3.2 / 1_000)).isEqualTo(2);
   }
 
   @Test
-  void tooFewReadersGetHelp() {
-    assertThat(bestReaders(10, 1, READS, 2 * ENDS)).isEqualTo(3);
+  void aPoolWithTooFewPrefillEnginesGetsMore() {
+    assertThat(bestPrefillCount(10, 1, PREFILL_RATE, 2 * DECODE_RATE)).isEqualTo(3);
   }
 
   /** After a burst the times of reading look longer than they are; an engine went to and fro. */
   @Test
-  void enginesThatGenerateAreNotTakenOutForALittle() {
-    assertThat(bestReaders(10, 2, READS * 0.7, ENDS)).isEqualTo(2);
+  void aDecodeEngineIsNotMovedForASmallGain() {
+    assertThat(bestPrefillCount(10, 2, PREFILL_RATE * 0.7, DECODE_RATE)).isEqualTo(2);
   }
 
   @Test
-  void aChangeThatBringsLittleIsNotMade() {
-    assertThat(bestReaders(20, 5, READS, ENDS)).isEqualTo(5);
-    assertThat(bestReaders(30, 6, READS, ENDS)).isEqualTo(6);
+  void aChangeWithASmallGainIsNotMade() {
+    assertThat(bestPrefillCount(20, 5, PREFILL_RATE, DECODE_RATE)).isEqualTo(5);
+    assertThat(bestPrefillCount(30, 6, PREFILL_RATE, DECODE_RATE)).isEqualTo(6);
   }
 
   @Test
-  void atLeastOneEngineReadsAndOneGenerates() {
-    assertThat(bestReaders(2, 1, READS, ENDS)).isEqualTo(1);
+  void atLeastOneEnginePrefillsAndOneDecodes() {
+    assertThat(bestPrefillCount(2, 1, PREFILL_RATE, DECODE_RATE)).isEqualTo(1);
   }
 
   /**
@@ -52,7 +52,7 @@
    * thirteen.
    */
   @Test
-  void whatReadersLeaveIsReadBesideAnswers() {
+  void promptsBeyondThePrefillCapacityAreLocallyPrefilled() {
     RoleBalance.Rates rates = new RoleBalance.Rates(10.7, 10.7 / 2, 3.28);
 
     assertThat(rates.ofPool(6, 1)).isBetween(14.0, 14.4);
@@ -60,7 +60,9 @@
     assertThat(rates.ofPool(6, 0)).isBetween(12.1, 12.3);
   }
 
-  private static int bestReaders(int engines, int reading, double reads, double ends) {
-    return RoleBalance.bestReaders(engines, reading, new RoleBalance.Rates(reads, 0, ends));
+  private static int bestPrefillCount(
+      int engines, int prefillCount, double prefillRate, double decodeRate) {
+    return RoleBalance.bestPrefillCount(
+        engines, prefillCount, new RoleBalance.Rates(prefillRate, 0, decodeRate));
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShard.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShard.java
@@ -67,7 +67,7 @@
   }
 
   synchronized Optional<RoleChange> wantedRoleChange(long nowMillis) {
-    return ledger.wantedRoleChange(nowMillis);
+    return ledger.recommendedRoleChange(nowMillis);
   }
 
   synchronized boolean isWaiting() {
