--- a/core/src/main/java/org/marjoramsail/core/failure/Refusal.java
+++ b/core/src/main/java/org/marjoramsail/core/failure/Refusal.java
@@ -29,7 +29,7 @@
   }
 
   /** The same refusal of a request of which nothing is proven, since it repeats another's key. */
-  public Refusal withUnknownRun() {
+  public Refusal withUnknownRunState() {
     return new Refusal(reason, RunState.UNKNOWN, detail, retryAfterMillis);
   }
 
--- a/core/src/main/java/org/marjoramsail/core/model/Incarnation.java
+++ b/core/src/main/java/org/marjoramsail/core/model/Incarnation.java
@@ -21,7 +21,7 @@
   }
 
   /** Whether another start is certainly that of another life: both are known and differ. */
-  public boolean isOtherThan(long otherStartMillis) {
+  public boolean certainlyDiffersFrom(long otherStartMillis) {
     return startedAtMillis != UNKNOWN_START
         && otherStartMillis != UNKNOWN_START
         && startedAtMillis != otherStartMillis;
--- a/core/src/main/java/org/marjoramsail/core/model/ServiceClass.java
+++ b/core/src/main/java/org/marjoramsail/core/model/ServiceClass.java
@@ -28,7 +28,7 @@
   }
 
   /** Whether an answer is still wanted after the target was missed. */
-  public boolean isWantedLate() {
+  public boolean isUsefulAfterTarget() {
     return this == TIMELY;
   }
 
--- a/core/src/main/java/org/marjoramsail/core/model/UpstreamName.java
+++ b/core/src/main/java/org/marjoramsail/core/model/UpstreamName.java
@@ -10,7 +10,7 @@
   @JsonCreator
   public UpstreamName {
     if (value == null || value.isBlank()) {
-      throw new IllegalArgumentException("A upstream name must not be blank.");
+      throw new IllegalArgumentException("An upstream name must not be blank.");
     }
   }
 
--- a/core/src/main/java/org/marjoramsail/core/placement/EntryPlacement.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/EntryPlacement.java
@@ -87,7 +87,7 @@
     Map<UpstreamName, Long> paused = pausedIn(shard, nowMillis);
     TrackedAttempt attempt =
         new TrackedAttempt(
-            request.avoidingToo(paused.keySet()), shard, ownerOf(shard, nowMillis), nowMillis);
+            request.alsoAvoiding(paused.keySet()), shard, ownerOf(shard, nowMillis), nowMillis);
     attempts.put(request.request(), attempt);
     actions.add(registration(attempt, nowMillis));
     return actions;
@@ -285,7 +285,7 @@
 
   private static PlacementRequest withElapsedTime(TrackedAttempt attempt, long nowMillis) {
     long elapsed = nowMillis - attempt.placedMillis;
-    return elapsed == 0 ? attempt.request : attempt.request.laterBy(elapsed);
+    return elapsed == 0 ? attempt.request : attempt.request.afterElapsed(elapsed);
   }
 
   private EntryAction sendRequest(DaemonId owner, PlacementMessage message, long nowMillis) {
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementRequest.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementRequest.java
@@ -32,8 +32,8 @@
  * @param avoid upstreams on which earlier attempts failed
  * @param kvHeldBy a prefill upstream on which its KV cache still lives
  * @param alone whether it is suspected of crashing upstreams and shares one with no other suspect
- * @param content hash of what the caller sent, by which it is known again when it comes back; zero
- *     where that is of no use
+ * @param contentHash hash of what the caller sent, by which it is known again when it comes back;
+ *     zero where that is of no use
  * @param chunking how its output is split into chunks
  * @param countedTokens what it counts for against its organisation's limit in tokens; zero for a
  *     repeat, which was counted before
@@ -56,7 +56,7 @@
     List<UpstreamName> avoid,
     Optional<UpstreamName> kvHeldBy,
     boolean alone,
-    long content,
+    long contentHash,
     StreamChunking chunking,
     int countedTokens) {
 
@@ -124,7 +124,7 @@
   }
 
   /** The same request, kept from some upstreams more. */
-  public PlacementRequest avoidingToo(Set<UpstreamName> more) {
+  public PlacementRequest alsoAvoiding(Set<UpstreamName> more) {
     if (avoid.containsAll(more)) {
       return this;
     }
@@ -138,11 +138,11 @@
    *
    * @param millis how much later, in milliseconds
    */
-  public PlacementRequest laterBy(long millis) {
+  public PlacementRequest afterElapsed(long millis) {
     return copy(millis, avoid);
   }
 
-  private PlacementRequest copy(long millis, List<UpstreamName> newAvoid) {
+  private PlacementRequest copy(long millis, List<UpstreamName> avoided) {
     return new PlacementRequest(
         request,
         attempt,
@@ -157,10 +157,10 @@
         waitedMillis + millis,
         firstTokenWithinMillis - millis,
         deadlineWithinMillis - millis,
-        newAvoid,
+        avoided,
         kvHeldBy,
         alone,
-        content,
+        contentHash,
         chunking,
         countedTokens);
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -364,7 +364,8 @@
             nextSequence++,
             serviceMillis(request, leastMillis),
             selector.needsPrefillUpstream(request, nowMillis),
-            request.serviceClass().isWantedLate() && returning.isBack(request.content(), nowMillis),
+            request.serviceClass().isUsefulAfterTarget()
+                && returning.isBack(request.contentHash(), nowMillis),
             settings,
             nowMillis);
     waiting.put(request.request(), attempt);
@@ -415,7 +416,7 @@
   }
 
   private PlacementResult refuseForNow(WaitingAttempt attempt, Refusal refusal, long nowMillis) {
-    returning.refused(attempt.request().content(), nowMillis);
+    returning.refused(attempt.request().contentHash(), nowMillis);
     return refuse(attempt, refusal);
   }
 
--- a/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UpstreamState.java
@@ -170,7 +170,7 @@
    * @return whether the feedback announces leaving or a rate limit for the first time
    */
   boolean acceptFeedback(RelayedFeedback feedback, long nowMillis) {
-    if (definition.incarnation().isOtherThan(feedback.startedAtMillis())) {
+    if (definition.incarnation().certainlyDiffersFrom(feedback.startedAtMillis())) {
       return false;
     }
     boolean isNew = feedback.leaving() && !announcedLeaving;
--- a/core/src/main/java/org/marjoramsail/core/placement/WaitingAttempt.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/WaitingAttempt.java
@@ -53,7 +53,7 @@
     this.targetAt = nowMillis + targetWithin(request);
     this.expiresAt = targetAt - leastServiceMillis;
     this.uselessAt =
-        request.serviceClass().isWantedLate()
+        request.serviceClass().isUsefulAfterTarget()
             ? Math.max(expiresAt, nowMillis + request.deadlineWithinMillis() - leastServiceMillis)
             : expiresAt;
     this.kvUntil = nowMillis + settings.kvLifetimeMillis();
@@ -119,7 +119,7 @@
 
   /** How long until its answer is worth nothing, whether or not it is late by then. */
   static long usefulWithin(PlacementRequest request) {
-    return request.serviceClass().isWantedLate()
+    return request.serviceClass().isUsefulAfterTarget()
         ? request.deadlineWithinMillis()
         : targetWithin(request);
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHandler.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHandler.java
@@ -176,7 +176,7 @@
    */
   private static Refusal truthful(HttpServerRequest request, Refusal refusal) {
     boolean keyed = request.headers().contains(CallerHeaders.KEY);
-    return keyed && refusal.reason().isWorthRetrying() ? refusal.withUnknownRun() : refusal;
+    return keyed && refusal.reason().isWorthRetrying() ? refusal.withUnknownRunState() : refusal;
   }
 
   private void reject(HttpServerRequest request, RequestId id, Refusal refusal) {
