--- a/core/src/main/java/org/marjoramsail/core/placement/DirectPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/DirectPlacer.java
@@ -26,12 +26,12 @@
   private final ShardId shard;
   private final PlacementSettings settings;
   private final Map<UpstreamName, Candidate> candidates = new TreeMap<>();
-  private final Map<RequestId, Decided> decided = new LinkedHashMap<>();
+  private final Map<RequestId, PlacedAttempt> placed = new LinkedHashMap<>();
 
   DirectPlacer(PlacerSetup setup) {
     this.shard = setup.shard();
     this.settings = setup.settings();
-    define(setup.configuration());
+    updateCandidates(setup.configuration());
   }
 
   /** Picks one of at least one candidate, all of one role. */
@@ -39,17 +39,17 @@
 
   @Override
   public final List<PlacementResult> configure(Configuration configuration, long nowMillis) {
-    define(configuration);
+    updateCandidates(configuration);
     return List.of();
   }
 
   @Override
   public final List<PlacementResult> place(PlacementRequest request, long nowMillis) {
-    Decided known = decided.get(request.request());
-    if (known != null && known.request().attempt() >= request.attempt()) {
-      boolean isSame = known.request().attempt() == request.attempt();
+    PlacedAttempt existing = placed.get(request.request());
+    if (existing != null && existing.request().attempt() >= request.attempt()) {
+      boolean isSame = existing.request().attempt() == request.attempt();
       return isSame
-          ? List.of(new PlacementResult.Granted(request.entry(), known.grant()))
+          ? List.of(new PlacementResult.Granted(request.entry(), existing.grant()))
           : List.of();
     }
     UpstreamRole role = request.isGeneration() ? UpstreamRole.DECODE : UpstreamRole.PLAIN;
@@ -63,36 +63,38 @@
               request.entry(), request.request(), request.attempt(), refusal));
     }
     Grant grant = grant(request, pick(targets));
-    decided.put(request.request(), new Decided(request, grant, AttemptPhase.PREFILLING, nowMillis));
+    placed.put(
+        request.request(), new PlacedAttempt(request, grant, AttemptPhase.PREFILLING, nowMillis));
     return List.of(new PlacementResult.Granted(request.entry(), grant));
   }
 
   @Override
   public final List<PlacementResult> restore(
       PlacementRequest request, Grant grant, AttemptPhase phase, long nowMillis) {
-    decided.put(request.request(), new Decided(request, grant, phase, nowMillis));
+    placed.put(request.request(), new PlacedAttempt(request, grant, phase, nowMillis));
     return List.of();
   }
 
   @Override
   public final List<PlacementResult> report(AttemptReport report, long nowMillis) {
-    Decided known = decided.get(report.request());
-    if (known == null || known.request().attempt() != report.attempt()) {
+    PlacedAttempt existing = placed.get(report.request());
+    if (existing == null || existing.request().attempt() != report.attempt()) {
       return List.of();
     }
     if (report.phase() == AttemptPhase.ENDED) {
-      decided.remove(report.request());
+      placed.remove(report.request());
     } else {
-      decided.put(
+      placed.put(
           report.request(),
-          new Decided(known.request(), known.grant(), report.phase(), known.atMillis()));
+          new PlacedAttempt(
+              existing.request(), existing.grant(), report.phase(), existing.atMillis()));
     }
     return List.of();
   }
 
   @Override
   public final List<PlacementResult> withdraw(RequestId request, long nowMillis) {
-    decided.remove(request);
+    placed.remove(request);
     return List.of();
   }
 
@@ -117,7 +119,7 @@
 
   @Override
   public final List<PlacementResult> daemonFailed(DaemonId daemon, long nowMillis) {
-    decided.values().removeIf(it -> SlotLedger.isRunOf(it.request().entry(), daemon));
+    placed.values().removeIf(it -> SlotLedger.isRunOf(it.request().entry(), daemon));
     return List.of();
   }
 
@@ -131,20 +133,20 @@
     List<ShardView.UpstreamView> upstreams =
         candidates.values().stream().map(Candidate::view).toList();
     List<ShardView.RunningView> running = new ArrayList<>();
-    decided.values().stream()
-        .sorted(Comparator.comparingLong(Decided::atMillis))
+    placed.values().stream()
+        .sorted(Comparator.comparingLong(PlacedAttempt::atMillis))
         .forEach(it -> running.add(it.view(nowMillis)));
     return new ShardView(shard, upstreams, running, List.of(), List.of());
   }
 
-  private void define(Configuration configuration) {
-    Map<UpstreamName, Candidate> before = new TreeMap<>(candidates);
+  private void updateCandidates(Configuration configuration) {
+    Map<UpstreamName, Candidate> previous = new TreeMap<>(candidates);
     candidates.clear();
     new ShardMap(configuration, settings.shardUpstreams())
         .upstreamsOf(shard)
         .forEach(
             definition -> {
-              Candidate fresh =
+              Candidate created =
                   new Candidate(
                       definition.name(),
                       definition.role(),
@@ -152,9 +154,9 @@
                       definition.slots(),
                       !definition.drained(),
                       Optional.empty());
-              Candidate old = before.getOrDefault(definition.name(), fresh);
+              Candidate current = previous.getOrDefault(definition.name(), created);
               candidates.put(
-                  definition.name(), old.listed(old.isListed() && !definition.drained()));
+                  definition.name(), current.listed(current.isListed() && !definition.drained()));
             });
   }
 
@@ -165,16 +167,16 @@
   }
 
   private Grant grant(PlacementRequest request, Candidate target) {
-    List<Candidate> readers = usable(UpstreamRole.PREFILL, request);
-    double localMillis =
+    List<Candidate> prefillCandidates = usable(UpstreamRole.PREFILL, request);
+    double localPrefillMillis =
         settings.prefillOverheadMillis()
             + request.promptTokens() / settings.prefillTokensPerMilli();
     Optional<UpstreamName> prefill = Optional.empty();
     GrantMode mode = request.isGeneration() ? GrantMode.LOCAL_PREFILL : GrantMode.PLAIN;
-    boolean isShort = localMillis <= settings.localPrefillMillis();
-    if (request.isGeneration() && !isShort && !readers.isEmpty()) {
+    boolean isShort = localPrefillMillis <= settings.localPrefillMillis();
+    if (request.isGeneration() && !isShort && !prefillCandidates.isEmpty()) {
       mode = GrantMode.DISAGGREGATED;
-      prefill = request.kvHeldBy().or(() -> Optional.of(pick(readers).name()));
+      prefill = request.kvHeldBy().or(() -> Optional.of(pick(prefillCandidates).name()));
     }
     return new Grant(
         request.request(),
@@ -182,7 +184,7 @@
         mode,
         prefill,
         target.name(),
-        request.kvHeldBy().isPresent() ? 0 : Math.round(localMillis),
+        request.kvHeldBy().isPresent() ? 0 : Math.round(localPrefillMillis),
         0);
   }
 
@@ -229,7 +231,8 @@
     }
   }
 
-  private record Decided(PlacementRequest request, Grant grant, AttemptPhase phase, long atMillis) {
+  private record PlacedAttempt(
+      PlacementRequest request, Grant grant, AttemptPhase phase, long atMillis) {
 
     ShardView.RunningView view(long nowMillis) {
       return new ShardView.RunningView(
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardMap.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardMap.java
@@ -34,10 +34,10 @@
    * that helps; of two slices only one had any changed. An owner of more would exceed what control
    * may cost a host.
    */
-  private static final int SLICES_KEPT_WHOLE = 2;
+  private static final int UNSLICED_POOL_FACTOR = 2;
 
   /** A shard must have this much more load than the other choice before a prefix leaves it. */
-  private static final double LOAD_MARGIN = 0.25;
+  private static final double LOAD_DIFFERENCE_FOR_SECOND_CHOICE = 0.25;
 
   private final int maximumUpstreams;
   private final Map<ShardId, List<UpstreamDefinition>> shards = new TreeMap<>();
@@ -133,15 +133,16 @@
             .toList();
     double first = load.applyAsDouble(ranked.get(0));
     double second = load.applyAsDouble(ranked.get(1));
-    return Optional.of(first > second + LOAD_MARGIN ? ranked.get(1) : ranked.get(0));
+    return Optional.of(
+        first > second + LOAD_DIFFERENCE_FOR_SECOND_CHOICE ? ranked.get(1) : ranked.get(0));
   }
 
   /** How many slices a pool of that many configured upstreams has. */
   private int sliceCount(int upstreams) {
-    if (upstreams <= SLICES_KEPT_WHOLE * maximumUpstreams) {
+    if (upstreams <= UNSLICED_POOL_FACTOR * maximumUpstreams) {
       return 1;
     }
-    int slices = SLICES_KEPT_WHOLE;
+    int slices = UNSLICED_POOL_FACTOR;
     while (upstreams > slices * maximumUpstreams) {
       slices *= 2;
     }
@@ -172,17 +173,17 @@
   /** Rendezvous hashing with a bound on each slice, so that each role is spread evenly. */
   private void assign(List<UpstreamDefinition> members, String service, String region, int slices) {
     int bound = (members.size() + slices - 1) / slices;
-    int[] taken = new int[slices];
+    int[] assigned = new int[slices];
     for (UpstreamDefinition member : members) {
       long key = hash(member.name().value());
       int best = -1;
       for (int slice = 0; slice < slices; slice++) {
-        boolean isOpen = taken[slice] < bound;
+        boolean isOpen = assigned[slice] < bound;
         if (isOpen && (best < 0 || rank(key, slice) > rank(key, best))) {
           best = slice;
         }
       }
-      taken[best]++;
+      assigned[best]++;
       shards.get(new ShardId(service, region, best)).add(member);
     }
   }
--- a/core/src/test/java/org/marjoramsail/core/placement/DirectPlacerTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/DirectPlacerTest.java
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void aKvCacheThatLivesIsNotReadAgain() {
+  void aPromptWithALiveKvCacheIsNotPrefilledAgain() {
     Grant grant =
         onlyGrant(
             placer(PlacementPolicy.ROUND_ROBIN)
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void anAttemptAvoidsWhereEarlierOnesFailedAndIsRefusedAsNotRunWhereNothingIsLeft() {
+  void anAttemptAvoidsUpstreamsOfFailedAttemptsAndIsRefusedAsNotRunWhereNoneIsLeft() {
     Placer placer = placer(PlacementPolicy.LEAST_LOAD);
 
     assertThat(
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void anUpstreamThatIsLeavingGetsNothing() {
+  void anUnavailableUpstreamReceivesNoRequests() {
     Placer placer = placer(PlacementPolicy.ROUND_ROBIN);
     placer.availability(new UpstreamName("decode-1"), false, 0);
 
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void aGrantThatWasLostOnTheWayIsRepeatedAsItWas() {
+  void aRepeatedAttemptReceivesTheSameGrant() {
     Placer placer = placer(PlacementPolicy.ROUND_ROBIN);
     Grant first = onlyGrant(placer.place(request("r").build(), 0));
 
--- a/core/src/test/java/org/marjoramsail/core/placement/ShardCoordinatorTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/ShardCoordinatorTest.java
@@ -71,7 +71,8 @@
   @Test
   void requestsFromADaemonWronglyDeclaredDeadAreRequestedAgainAfterItsRecovery() {
     ShardCoordinator reserving = coordinatorWithReservingPlacer();
-    PlacementMessage place = new PlacementMessage.Place(SHARD, asking("first"), List.of());
+    PlacementMessage place =
+        new PlacementMessage.Place(SHARD, placementRequest("first"), List.of());
     PlacementMessage.Holding holding =
         new PlacementMessage.Holding(new RequestId("first"), 1, false);
     reserving.daemonFailed(ENTRY, 0);
@@ -110,7 +111,7 @@
     coordinator.handle(
         ENTRY,
         new PlacementMessage.Restore(
-            SHARD, asking("first"), grant, AttemptPhase.GENERATING, List.of()),
+            SHARD, placementRequest("first"), grant, AttemptPhase.GENERATING, List.of()),
         0);
     place("second");
 
@@ -127,14 +128,17 @@
   @Test
   void attemptsOfARecoveredDaemonAreReleasedWhenTheyEnd() {
     ShardCoordinator reserving = coordinatorWithReservingPlacer();
-    reserving.handle(ENTRY, new PlacementMessage.Place(SHARD, asking("first"), List.of()), 0);
+    reserving.handle(
+        ENTRY, new PlacementMessage.Place(SHARD, placementRequest("first"), List.of()), 0);
 
     reserving.daemonRecovered(ENTRY);
     reserving.handle(ENTRY, new PlacementMessage.Report(SHARD, ended("first"), List.of()), 20);
 
     assertThat(
             reserving.handle(
-                ENTRY, new PlacementMessage.Place(SHARD, asking("second"), List.of()), 30))
+                ENTRY,
+                new PlacementMessage.Place(SHARD, placementRequest("second"), List.of()),
+                30))
         .extracting(ShardCoordinator.Outgoing::message)
         .anyMatch(PlacementMessage.Granted.class::isInstance);
   }
@@ -149,10 +153,10 @@
 
   private List<ShardCoordinator.Outgoing> place(String request) {
     return coordinator.handle(
-        ENTRY, new PlacementMessage.Place(SHARD, asking(request), List.of()), 0);
+        ENTRY, new PlacementMessage.Place(SHARD, placementRequest(request), List.of()), 0);
   }
 
-  private static PlacementRequest asking(String request) {
+  private static PlacementRequest placementRequest(String request) {
     return new PlacementRequest(
         new RequestId(request),
         1,
--- a/core/src/test/java/org/marjoramsail/core/placement/ShardMapTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/ShardMapTest.java
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void oneUpstreamLessMovesFewOthers() {
+  void removingAnUpstreamMovesFewOthers() {
     Configuration before = PlacementFixtures.pool(64, 120, 20);
     List<UpstreamDefinition> fewer = new ArrayList<>(before.upstreams());
     fewer.remove(17);
@@ -72,7 +72,7 @@
    * callers waited for memory in one slice while there was some in the other.
    */
   @Test
-  void poolsThatOneOwnerCanDecideForAreNotSliced() {
+  void poolsWithinTheCapacityOfOneOwnerAreNotSliced() {
     assertThat(new ShardMap(PlacementFixtures.pool(12, 22, 16)).shards()).hasSize(1);
     assertThat(new ShardMap(PlacementFixtures.pool(16, 32, 16)).shards()).hasSize(1);
     assertThat(new ShardMap(PlacementFixtures.pool(16, 33, 16)).shards()).hasSize(4);
@@ -83,7 +83,7 @@
    * was one of the smallest of the fleet, and busy with its messages, while large ones stood idle.
    */
   @Test
-  void hostsWithTheGreatestProcessorsOwnShardsWhileThereAreAny() {
+  void hostsWithTheLargestProcessorsRankFirst() {
     List<Member> members = new ArrayList<>();
     IntStream.range(0, 70).forEach(number -> members.add(member("small-" + number, 360)));
     IntStream.range(0, 3).forEach(number -> members.add(member("large-" + number, 1_500)));
@@ -101,7 +101,7 @@
 
   /** Where processors are alike, or unknown on some, all share the work. */
   @Test
-  void hostsWithLikeProcessorsShareTheShards() {
+  void hostsWithSimilarProcessorsShareTheShards() {
     List<Member> members = new ArrayList<>();
     IntStream.range(0, 10).forEach(number -> members.add(member("host-" + number, 700 + number)));
     MembershipView view = new MembershipView(members.get(0), members);
@@ -117,15 +117,15 @@
   }
 
   @Test
-  void theSamePrefixMeetsTheSameSliceUntilItIsMuchFuller() {
+  void requestsWithTheSamePrefixGoToTheSameSliceUntilItIsMuchMoreLoaded() {
     ShardMap map = new ShardMap(PlacementFixtures.pool(64, 128, 20));
     PlacementRequest request = PlacementFixtures.request("r").hashes(List.of(7L, 8L)).build();
-    PlacementRequest fellow = PlacementFixtures.request("s").hashes(List.of(7L, 9L)).build();
+    PlacementRequest samePrefix = PlacementFixtures.request("s").hashes(List.of(7L, 9L)).build();
 
     ShardId first = map.shardFor(request, "litoral", shard -> 0.5).orElseThrow();
 
-    assertThat(map.shardFor(fellow, "litoral", shard -> 0.5)).contains(first);
-    assertThat(map.shardFor(fellow, "litoral", shard -> shard.equals(first) ? 0.9 : 0.5))
+    assertThat(map.shardFor(samePrefix, "litoral", shard -> 0.5)).contains(first);
+    assertThat(map.shardFor(samePrefix, "litoral", shard -> shard.equals(first) ? 0.9 : 0.5))
         .isPresent()
         .get()
         .isNotEqualTo(first);
--- a/core/src/test/java/org/marjoramsail/core/placement/SoftOwnershipFuzzTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/SoftOwnershipFuzzTest.java
@@ -35,7 +35,7 @@
     private final Map<DaemonId, EntryPlacement> entries = new HashMap<>();
     private final Map<DaemonId, ShardCoordinator> coordinators = new HashMap<>();
     private final Map<DaemonId, SlotCountingPlacer> placers = new HashMap<>();
-    private final List<Envelope> underway = new ArrayList<>();
+    private final List<Envelope> inFlight = new ArrayList<>();
     private final Map<RequestId, DaemonId> waiting = new HashMap<>();
     private final Map<RequestId, DaemonId> granted = new HashMap<>();
     private final Set<RequestId> answered = new HashSet<>();
@@ -68,7 +68,7 @@
       DaemonId entry = alive.get(random.nextInt(alive.size()));
       RequestId request = new RequestId("request-" + sequence++);
       waiting.put(request, entry);
-      act(entry, entries.get(entry).place(asking(request, entry), SHARD, now));
+      act(entry, entries.get(entry).place(placementRequest(request, entry), SHARD, now));
     }
 
     void end() {
@@ -89,17 +89,17 @@
               });
     }
 
-    void killOne() {
+    void failOne() {
       if (alive.size() == 1) {
         return;
       }
-      DaemonId dead = alive.remove(random.nextInt(alive.size()));
-      waiting.values().removeIf(dead::equals);
-      granted.values().removeIf(dead::equals);
-      underway.removeIf(envelope -> envelope.to().equals(dead));
+      DaemonId failed = alive.remove(random.nextInt(alive.size()));
+      waiting.values().removeIf(failed::equals);
+      granted.values().removeIf(failed::equals);
+      inFlight.removeIf(envelope -> envelope.to().equals(failed));
     }
 
-    void learnOfDeaths() {
+    void detectFailures() {
       ranking = new ArrayList<>(alive);
       for (DaemonId daemon : alive) {
         for (DaemonId other : entries.keySet()) {
@@ -128,8 +128,8 @@
 
     private void deliver() {
       List<Envelope> due =
-          new ArrayList<>(underway.stream().filter(e -> e.dueMillis() <= now).toList());
-      underway.removeAll(due);
+          new ArrayList<>(inFlight.stream().filter(e -> e.dueMillis() <= now).toList());
+      inFlight.removeAll(due);
       java.util.Collections.shuffle(due, random);
       for (Envelope envelope : due) {
         if (!alive.contains(envelope.to())) {
@@ -173,7 +173,7 @@
     private void post(DaemonId from, DaemonId to, PlacementMessage message) {
       boolean lost = !from.equals(to) && random.nextDouble() < lossRate;
       if (!lost) {
-        underway.add(new Envelope(from, to, message, now + random.nextInt(250)));
+        inFlight.add(new Envelope(from, to, message, now + random.nextInt(250)));
       }
     }
 
@@ -184,7 +184,7 @@
           : Optional.of(sorted.get(random.nextInt(sorted.size())));
     }
 
-    private static PlacementRequest asking(RequestId request, DaemonId entry) {
+    private static PlacementRequest placementRequest(RequestId request, DaemonId entry) {
       return new PlacementRequest(
           request,
           1,
@@ -233,15 +233,15 @@
         case 13 -> fleet.reorderRanking();
         case 14 -> {
           if (steps.nextInt(8) == 0) {
-            fleet.killOne();
+            fleet.failOne();
           }
         }
-        case 15 -> fleet.learnOfDeaths();
+        case 15 -> fleet.detectFailures();
         default -> fleet.pass(TICK_MILLIS * (1 + steps.nextInt(8)));
       }
     }
     fleet.lossRate = 0;
-    fleet.learnOfDeaths();
+    fleet.detectFailures();
     while (!fleet.waiting.isEmpty() || !fleet.granted.isEmpty()) {
       int before = fleet.waiting.size() + fleet.granted.size();
       fleet.pass(QUIET_MILLIS);
