--- a/core/src/test/java/org/marjoramsail/core/placement/AnnouncedLeavingTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/AnnouncedLeavingTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.marjoramsail.core.feedback.UpstreamFeedback;
 import org.marjoramsail.core.model.UpstreamName;
-import org.marjoramsail.core.placement.HostsBeforeUpstreams.Arrival;
-import org.marjoramsail.core.placement.HostsBeforeUpstreams.End;
-import org.marjoramsail.core.placement.HostsBeforeUpstreams.Way;
+import org.marjoramsail.core.placement.PlacementSimulation.Arrival;
+import org.marjoramsail.core.placement.PlacementSimulation.End;
+import org.marjoramsail.core.placement.PlacementSimulation.LimitEnforcement;
 
 /**
  * Guards against sending requests to an upstream that announces leaving in its responses while the
@@ -36,7 +36,7 @@
   @CsvSource({"7, 3, 1, 1", "7, 3, 2, 2", "77, 12, 3, 1", "390, 40, 8, 1"})
   void anUpstreamThatAnnouncesLeavingGetsNoNewWork(
       int hosts, int upstreams, int leaving, long seed) {
-    HostsBeforeUpstreams fleet = fleet(hosts, upstreams, leaving, seed);
+    PlacementSimulation fleet = fleet(hosts, upstreams, leaving, seed);
 
     fleet.run(DURATION_MILLIS);
 
@@ -46,7 +46,7 @@
   /** Owners fail one after the other; a new owner has received no feedback of the previous ones. */
   @Property(seed = "20261203", tries = 12)
   void itGetsNoNewWorkWhenOwnersFail(@ForAll @LongRange(min = 1) long seed) {
-    HostsBeforeUpstreams fleet = fleet(7, 3, 1, seed);
+    PlacementSimulation fleet = fleet(7, 3, 1, seed);
     Random random = new Random(seed);
     for (long at = LEAVING_FROM_MILLIS; at < DURATION_MILLIS; at += 300 + random.nextInt(2_000)) {
       int failed = random.nextInt(3);
@@ -61,9 +61,9 @@
   /** Hosts cannot reach each other; each one uses the feedback that it received itself. */
   @Test
   void itGetsNoNewWorkFromIsolatedHosts() {
-    HostsBeforeUpstreams fleet = fleet(3, 3, 1, 1);
-    fleet.putOnSide(1, 1);
-    fleet.putOnSide(2, 2);
+    PlacementSimulation fleet = fleet(3, 3, 1, 1);
+    fleet.moveToPartition(1, 1);
+    fleet.moveToPartition(2, 2);
 
     fleet.run(DURATION_MILLIS);
 
@@ -73,9 +73,9 @@
   /** An announcement holds until the upstream restarts, even if later responses omit it. */
   @Test
   void itGetsNoNewWorkAfterItsResponsesStopAnnouncingIt() {
-    HostsBeforeUpstreams fleet = new HostsBeforeUpstreams(7, 3, 6, 86, 1, Way.AT_THE_OWNER);
+    PlacementSimulation fleet = new PlacementSimulation(7, 3, 6, 86, 1, LimitEnforcement.BY_OWNER);
     UpstreamName first = fleet.upstreams().get(0);
-    fleet.saying(
+    fleet.setFeedback(
         name ->
             name.equals(first) && fleet.events().now() > 4_000 && fleet.events().now() < 4_200
                 ? LEAVING
@@ -90,24 +90,24 @@
   /** If all upstreams of a service leave, requests are refused immediately with a time to retry. */
   @Test
   void requestsAreRefusedImmediatelyWhenAllUpstreamsLeave() {
-    HostsBeforeUpstreams fleet = fleet(7, 3, 3, 1);
+    PlacementSimulation fleet = fleet(7, 3, 3, 1);
 
     fleet.run(DURATION_MILLIS);
 
     assertThat(lateArrivals(fleet)).isEmpty();
     List<End> refused =
         fleet.ends().stream()
-            .filter(end -> !end.served() && end.askedAtMillis() > LEAVING_FROM_MILLIS + 1_000)
+            .filter(end -> !end.served() && end.requestedAtMillis() > LEAVING_FROM_MILLIS + 1_000)
             .toList();
     assertThat(refused).hasSizeGreaterThan(100);
-    assertThat(refused).allMatch(end -> end.endedAtMillis() - end.askedAtMillis() <= 50);
+    assertThat(refused).allMatch(end -> end.endedAtMillis() - end.requestedAtMillis() <= 50);
     assertThat(refused).allMatch(end -> end.retryAfter().orElse(0L) > 0);
   }
 
-  private static HostsBeforeUpstreams fleet(int hosts, int upstreams, int leaving, long seed) {
-    HostsBeforeUpstreams fleet =
-        new HostsBeforeUpstreams(hosts, upstreams, 6, 86, seed, Way.AT_THE_OWNER);
-    fleet.saying(
+  private static PlacementSimulation fleet(int hosts, int upstreams, int leaving, long seed) {
+    PlacementSimulation fleet =
+        new PlacementSimulation(hosts, upstreams, 6, 86, seed, LimitEnforcement.BY_OWNER);
+    fleet.setFeedback(
         name ->
             fleet.events().now() >= LEAVING_FROM_MILLIS && fleet.upstreams().indexOf(name) < leaving
                 ? LEAVING
@@ -117,12 +117,12 @@
   }
 
   /** Returns the requests that arrived too long after their host had received the announcement. */
-  private static List<Arrival> lateArrivals(HostsBeforeUpstreams fleet) {
+  private static List<Arrival> lateArrivals(PlacementSimulation fleet) {
     return fleet.arrivals().stream()
         .filter(
             arrival ->
                 fleet
-                    .toldAt(arrival.upstream(), arrival.host())
+                    .firstFeedbackAt(arrival.upstream(), arrival.host())
                     .filter(receivedAt -> arrival.atMillis() > receivedAt + DRAIN_MILLIS)
                     .isPresent())
         .toList();
--- a/core/src/test/java/org/marjoramsail/core/placement/HostsBeforeUpstreams.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PlacementSimulation.java
@@ -21,7 +21,7 @@
  * Hosts that place requests with one owner among them, before plain upstreams that say things of
  * themselves in their answers; on a virtual clock, with hosts that die or see only some others.
  */
-final class HostsBeforeUpstreams {
+final class PlacementSimulation {
 
   private static final ShardId SHARD = PlacementFixtures.PLAIN_SHARD;
   private static final long LINK_MILLIS = 2;
@@ -34,55 +34,58 @@
   private static final long DETECTION_MILLIS = 1_000;
 
   /** Where a limit over all hosts is enforced. */
-  enum Way {
+  enum LimitEnforcement {
     /** The owner of the pool, which grants all places, is told and counts. */
-    AT_THE_OWNER,
+    BY_OWNER,
     /** Each host that was told keeps to its part of the limit, and the owner is not told. */
-    SHARES_OF_HOSTS
+    BY_HOST_SHARES
   }
 
   /** A request that reached an upstream. */
   record Arrival(UpstreamName upstream, DaemonId host, long atMillis) {}
 
   /** What became of a request. */
-  record End(boolean served, long askedAtMillis, long endedAtMillis, Optional<Long> retryAfter) {}
+  record End(
+      boolean served, long requestedAtMillis, long endedAtMillis, Optional<Long> retryAfter) {}
 
   private static final class Host {
     private final DaemonId id;
-    private final UpstreamFeedbackTable conditions = new UpstreamFeedbackTable();
+    private final UpstreamFeedbackTable receivedFeedback = new UpstreamFeedbackTable();
     private final Map<UpstreamName, TokenBucket> shares = new HashMap<>();
     private final EntryPlacement entry;
     private Optional<ShardCoordinator> coordinator = Optional.empty();
-    private int side;
+    private int partition;
     private double fleetShare = 1;
-    private boolean dead;
+    private boolean failed;
 
-    Host(DaemonId id, ShardDirectory directory, Way way) {
+    Host(DaemonId id, ShardDirectory directory, LimitEnforcement enforcement) {
       this.id = id;
       this.entry =
           new EntryPlacement(
               id,
               PlacementTimings.standard(),
               directory,
-              way == Way.AT_THE_OWNER ? conditions : new UpstreamFeedbackTable());
+              enforcement == LimitEnforcement.BY_OWNER
+                  ? receivedFeedback
+                  : new UpstreamFeedbackTable());
     }
   }
 
-  private record Asked(DaemonId host, long atMillis, List<UpstreamName> avoid) {}
+  private record PendingRequest(DaemonId host, long atMillis, List<UpstreamName> avoid) {}
 
   private final VirtualEvents events = new VirtualEvents();
   private final Map<DaemonId, Host> hosts = new HashMap<>();
   private final List<DaemonId> ranking = new ArrayList<>();
-  private final Map<RequestId, Asked> asked = new HashMap<>();
-  private final Map<UpstreamName, Map<DaemonId, Long>> toldAt = new HashMap<>();
+  private final Map<RequestId, PendingRequest> pending = new HashMap<>();
+  private final Map<UpstreamName, Map<DaemonId, Long>> firstFeedbackAt = new HashMap<>();
   private final List<Arrival> arrivals = new ArrayList<>();
   private final List<End> ends = new ArrayList<>();
   private final List<Arrival> pauses = new ArrayList<>();
   private final Configuration configuration;
   private final Random random;
   private final long workMillis;
-  private final Way way;
-  private Function<UpstreamName, UpstreamFeedback> statements = name -> UpstreamFeedback.NOTHING;
+  private final LimitEnforcement enforcement;
+  private Function<UpstreamName, UpstreamFeedback> feedback = name -> UpstreamFeedback.NOTHING;
   private int sequence;
 
   /**
@@ -92,16 +95,21 @@
    * @param workMillis how long an upstream works on a request
    * @param way where limits are enforced
    */
-  HostsBeforeUpstreams(
-      int hostCount, int upstreams, int slots, long workMillis, long seed, Way way) {
-    this.way = way;
+  PlacementSimulation(
+      int hostCount,
+      int upstreams,
+      int slots,
+      long workMillis,
+      long seed,
+      LimitEnforcement enforcement) {
+    this.enforcement = enforcement;
     this.configuration = PlacementFixtures.plainPool(upstreams, slots);
     this.workMillis = workMillis;
     this.random = new Random(seed);
     for (int number = 0; number < hostCount; number++) {
       DaemonId id = new DaemonId("host-" + number, 1);
       ranking.add(id);
-      hosts.put(id, new Host(id, directoryOf(id), way));
+      hosts.put(id, new Host(id, directoryOf(id), enforcement));
     }
   }
 
@@ -110,56 +118,57 @@
   }
 
   /** What each upstream says in its answers at this moment. */
-  void saying(Function<UpstreamName, UpstreamFeedback> newer) {
-    statements = newer;
+  void setFeedback(Function<UpstreamName, UpstreamFeedback> newer) {
+    feedback = newer;
   }
 
   /** Has requests come at random hosts, so many a second on average, over a time. */
   void load(double perSecond, long fromMillis, long toMillis) {
     double next = fromMillis;
     while (next < toMillis) {
-      events.at((long) next, () -> ask(ranking.get(random.nextInt(ranking.size()))));
+      events.at((long) next, () -> sendRequest(ranking.get(random.nextInt(ranking.size()))));
       next += -Math.log(1 - random.nextDouble()) * 1_000 / perSecond;
     }
   }
 
   /** Has a host die; it starts again as a new run that knows nothing. */
   void kill(int number) {
-    DaemonId before = ranking.get(number);
-    hosts.get(before).dead = true;
-    DaemonId after = new DaemonId(before.host(), before.incarnation() + 1);
-    Host born = new Host(after, directoryOf(after), way);
-    born.side = hosts.get(before).side;
-    ranking.set(number, after);
-    hosts.put(after, born);
-    toldAt.values().forEach(told -> told.remove(before));
+    DaemonId previous = ranking.get(number);
+    hosts.get(previous).failed = true;
+    DaemonId current = new DaemonId(previous.host(), previous.incarnation() + 1);
+    Host restarted = new Host(current, directoryOf(current), enforcement);
+    restarted.partition = hosts.get(previous).partition;
+    ranking.set(number, current);
+    hosts.put(current, restarted);
+    firstFeedbackAt.values().forEach(byHost -> byHost.remove(previous));
     for (Host host : living()) {
-      act(host, host.entry.ownerDisconnected(before, events.now()));
+      act(host, host.entry.ownerDisconnected(previous, events.now()));
       host.coordinator.ifPresent(
-          coordinator -> send(host, coordinator.daemonFailed(before, events.now())));
+          coordinator -> send(host, coordinator.daemonFailed(previous, events.now())));
     }
   }
 
   /** Puts a host on a side; only hosts of one side reach each other. */
-  void putOnSide(int number, int side) {
-    hosts.get(ranking.get(number)).side = side;
-    events.at(events.now() + DETECTION_MILLIS, this::seeSides);
+  void moveToPartition(int number, int partition) {
+    hosts.get(ranking.get(number)).partition = partition;
+    events.at(events.now() + DETECTION_MILLIS, this::detectPartitions);
   }
 
-  private void seeSides() {
+  private void detectPartitions() {
     for (Host host : living()) {
       host.fleetShare = fleetShareOf(host);
-      host.coordinator.ifPresent(coordinator -> send(host, tellShare(host, coordinator)));
+      host.coordinator.ifPresent(coordinator -> send(host, updateFleetShare(host, coordinator)));
     }
   }
 
   /** Hosts that see less than half of the others spend their part of what is limited. */
   private double fleetShareOf(Host host) {
-    int seen = seenBy(host.id).size();
-    return 2 * seen >= ranking.size() ? 1 : seen / (double) ranking.size();
+    int reachable = reachableFrom(host.id).size();
+    return 2 * reachable >= ranking.size() ? 1 : reachable / (double) ranking.size();
   }
 
-  private List<ShardCoordinator.Outgoing> tellShare(Host host, ShardCoordinator coordinator) {
+  private List<ShardCoordinator.Outgoing> updateFleetShare(
+      Host host, ShardCoordinator coordinator) {
     return coordinator.apply(
         (placer, now) -> {
           ((UsageSharing) placer).fleetShare(host.fleetShare, now);
@@ -189,8 +198,8 @@
   }
 
   /** When a host first passed on an answer in which an upstream said something of itself. */
-  Optional<Long> toldAt(UpstreamName upstream, DaemonId host) {
-    return Optional.ofNullable(toldAt.getOrDefault(upstream, Map.of()).get(host));
+  Optional<Long> firstFeedbackAt(UpstreamName upstream, DaemonId host) {
+    return Optional.ofNullable(firstFeedbackAt.getOrDefault(upstream, Map.of()).get(host));
   }
 
   /** All upstreams. */
@@ -202,7 +211,7 @@
     return new ShardDirectory() {
       @Override
       public List<DaemonId> owners(ShardId shard) {
-        return seenBy(id);
+        return reachableFrom(id);
       }
 
       @Override
@@ -212,22 +221,23 @@
     };
   }
 
-  private List<DaemonId> seenBy(DaemonId id) {
-    int side = hosts.get(id).side;
-    return ranking.stream().filter(other -> hosts.get(other).side == side).toList();
+  private List<DaemonId> reachableFrom(DaemonId id) {
+    int partition = hosts.get(id).partition;
+    return ranking.stream().filter(other -> hosts.get(other).partition == partition).toList();
   }
 
   private List<Host> living() {
     return ranking.stream().map(hosts::get).toList();
   }
 
-  private void ask(DaemonId at) {
-    ask(hosts.get(at), List.of(), TARGET_MILLIS);
+  private void sendRequest(DaemonId at) {
+    sendRequest(hosts.get(at), List.of(), TARGET_MILLIS);
   }
 
-  private void ask(Host host, List<UpstreamName> avoid, long targetWithinMillis) {
+  private void sendRequest(Host host, List<UpstreamName> avoid, long targetWithinMillis) {
     RequestId id = new RequestId("request-" + sequence++);
-    asked.put(id, new Asked(host.id, events.now() - TARGET_MILLIS + targetWithinMillis, avoid));
+    pending.put(
+        id, new PendingRequest(host.id, events.now() - TARGET_MILLIS + targetWithinMillis, avoid));
     PlacementRequest request =
         new PlacementRequest(
             id,
@@ -269,7 +279,7 @@
       if (action instanceof EntryAction.Send send) {
         post(host.id, send.to(), send.message());
       } else if (action instanceof EntryAction.Complete answer) {
-        answered(host, answer.result());
+        complete(host, answer.result());
       }
     }
   }
@@ -285,7 +295,7 @@
 
   private void receive(DaemonId from, DaemonId to, PlacementMessage message) {
     Host host = hosts.get(to);
-    if (host.dead || hosts.get(from).side != host.side) {
+    if (host.failed || hosts.get(from).partition != host.partition) {
       return;
     }
     boolean isForOwner =
@@ -308,26 +318,26 @@
       host.coordinator =
           Optional.of(new ShardCoordinator(SHARD, placer, PlacementTimings.standard()));
     }
-    send(host, tellShare(host, host.coordinator.get()));
+    send(host, updateFleetShare(host, host.coordinator.get()));
     return host.coordinator.get();
   }
 
-  private void answered(Host host, PlacementResult result) {
+  private void complete(Host host, PlacementResult result) {
     if (result instanceof PlacementResult.Refused refused) {
       end(result.request(), false, refused.refusal().retryAfterMillis());
-    } else if (result instanceof PlacementResult.Granted granted && !host.dead) {
+    } else if (result instanceof PlacementResult.Granted granted && !host.failed) {
       UpstreamName target = granted.grant().target();
       if (!isWithinShare(host, target) || !isAccepting(host, target)) {
-        askElsewhere(host, granted.request(), target);
+        retryElsewhere(host, granted.request(), target);
         return;
       }
       arrivals.add(new Arrival(target, host.id, events.now()));
-      events.at(events.now() + workMillis, () -> head(host, target, result.request()));
+      events.at(events.now() + workMillis, () -> respond(host, target, result.request()));
     }
   }
 
   private boolean isAccepting(Host host, UpstreamName target) {
-    return host.conditions.isAccepting(definitionOf(target).incarnation(), events.now());
+    return host.receivedFeedback.isAccepting(definitionOf(target).incarnation(), events.now());
   }
 
   private UpstreamDefinition definitionOf(UpstreamName name) {
@@ -349,53 +359,57 @@
     return isOpen;
   }
 
-  private void askElsewhere(Host host, RequestId request, UpstreamName closed) {
+  private void retryElsewhere(Host host, RequestId request, UpstreamName rejected) {
     act(host, host.entry.withdraw(request));
-    Asked before = asked.remove(request);
-    List<UpstreamName> avoid = new ArrayList<>(before.avoid());
-    avoid.add(closed);
-    long left = before.atMillis() + TARGET_MILLIS - events.now();
-    ask(host, avoid, Math.max(0, left));
+    PendingRequest previous = pending.remove(request);
+    List<UpstreamName> avoid = new ArrayList<>(previous.avoid());
+    avoid.add(rejected);
+    long left = previous.atMillis() + TARGET_MILLIS - events.now();
+    sendRequest(host, avoid, Math.max(0, left));
   }
 
-  private void learnShare(Host host, UpstreamName upstream, UpstreamFeedback statement) {
-    if (way == Way.AT_THE_OWNER || statement.requestsPerSecond().isEmpty()) {
+  private void updateShare(Host host, UpstreamName upstream, UpstreamFeedback upstreamFeedback) {
+    if (enforcement == LimitEnforcement.BY_OWNER
+        || upstreamFeedback.requestsPerSecond().isEmpty()) {
       host.shares.remove(upstream);
       return;
     }
     host.shares
         .computeIfAbsent(upstream, name -> TokenBucket.emptyAt(events.now()))
-        .limit(statement.requestsPerSecond().get() / ranking.size(), 1);
+        .limit(upstreamFeedback.requestsPerSecond().get() / ranking.size(), 1);
   }
 
-  private void head(Host host, UpstreamName upstream, RequestId request) {
-    if (host.dead) {
+  private void respond(Host host, UpstreamName upstream, RequestId request) {
+    if (host.failed) {
       return;
     }
-    UpstreamFeedback statement = statements.apply(upstream);
-    host.conditions.heard(definitionOf(upstream).incarnation(), statement, events.now());
-    learnShare(host, upstream, statement);
-    if (!statement.equals(UpstreamFeedback.NOTHING)) {
-      toldAt.computeIfAbsent(upstream, name -> new HashMap<>()).putIfAbsent(host.id, events.now());
+    UpstreamFeedback upstreamFeedback = feedback.apply(upstream);
+    host.receivedFeedback.heard(
+        definitionOf(upstream).incarnation(), upstreamFeedback, events.now());
+    updateShare(host, upstream, upstreamFeedback);
+    if (!upstreamFeedback.equals(UpstreamFeedback.NOTHING)) {
+      firstFeedbackAt
+          .computeIfAbsent(upstream, name -> new HashMap<>())
+          .putIfAbsent(host.id, events.now());
     }
-    if (statement.pauseMillis().isPresent()) {
+    if (upstreamFeedback.pauseMillis().isPresent()) {
       pauses.add(new Arrival(upstream, host.id, events.now()));
-      act(host, host.entry.report(full(request, upstream), events.now()));
-      askElsewhere(host, request, upstream);
+      act(host, host.entry.report(reportFull(request, upstream), events.now()));
+      retryElsewhere(host, request, upstream);
       return;
     }
-    act(host, host.entry.report(ended(request), events.now()));
+    act(host, host.entry.report(reportCompleted(request), events.now()));
     end(request, true, Optional.empty());
   }
 
   private void end(RequestId request, boolean served, Optional<Long> retryAfter) {
-    Asked since = asked.remove(request);
-    if (since != null) {
-      ends.add(new End(served, since.atMillis(), events.now(), retryAfter));
+    PendingRequest finished = pending.remove(request);
+    if (finished != null) {
+      ends.add(new End(served, finished.atMillis(), events.now(), retryAfter));
     }
   }
 
-  private static AttemptReport full(RequestId request, UpstreamName upstream) {
+  private static AttemptReport reportFull(RequestId request, UpstreamName upstream) {
     return new AttemptReport(
         request,
         1,
@@ -407,7 +421,7 @@
         0);
   }
 
-  private static AttemptReport ended(RequestId request) {
+  private static AttemptReport reportCompleted(RequestId request) {
     return new AttemptReport(
         request,
         1,
--- a/core/src/test/java/org/marjoramsail/core/placement/RequestedPauseTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/RequestedPauseTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.marjoramsail.core.feedback.UpstreamFeedback;
-import org.marjoramsail.core.placement.HostsBeforeUpstreams.Arrival;
-import org.marjoramsail.core.placement.HostsBeforeUpstreams.End;
-import org.marjoramsail.core.placement.HostsBeforeUpstreams.Way;
+import org.marjoramsail.core.placement.PlacementSimulation.Arrival;
+import org.marjoramsail.core.placement.PlacementSimulation.End;
+import org.marjoramsail.core.placement.PlacementSimulation.LimitEnforcement;
 
 /**
  * Guards against hosts that retry an upstream after a fixed short time although its 503 response
@@ -33,7 +33,7 @@
   @ParameterizedTest
   @CsvSource({"7, 3, 1, 1", "7, 3, 2, 2", "77, 12, 3, 1"})
   void aHostSendsNothingDuringTheRequestedPause(int hosts, int upstreams, int pausing, long seed) {
-    HostsBeforeUpstreams fleet = fleet(hosts, upstreams, pausing, seed);
+    PlacementSimulation fleet = fleet(hosts, upstreams, pausing, seed);
 
     fleet.run(DURATION_MILLIS);
 
@@ -43,25 +43,25 @@
   /** If all upstreams request a pause, requests are refused immediately with a time to retry. */
   @Test
   void requestsAreRefusedImmediatelyWhileAllUpstreamsPause() {
-    HostsBeforeUpstreams fleet = fleet(2, 3, 3, 1);
+    PlacementSimulation fleet = fleet(2, 3, 3, 1);
 
     fleet.run(DURATION_MILLIS);
 
     assertPausesHold(fleet);
     List<End> refused =
         fleet.ends().stream()
-            .filter(end -> !end.served() && end.askedAtMillis() > PAUSING_FROM_MILLIS + 1_000)
-            .filter(end -> end.endedAtMillis() - end.askedAtMillis() <= 50)
+            .filter(end -> !end.served() && end.requestedAtMillis() > PAUSING_FROM_MILLIS + 1_000)
+            .filter(end -> end.endedAtMillis() - end.requestedAtMillis() <= 50)
             .toList();
     assertThat(refused).hasSizeGreaterThan(100);
     assertThat(refused).anyMatch(end -> end.retryAfter().orElse(0L) > 1_500);
     assertThat(refused).allMatch(end -> end.retryAfter().orElse(0L) <= PAUSE_MILLIS);
   }
 
-  private static HostsBeforeUpstreams fleet(int hosts, int upstreams, int pausing, long seed) {
-    HostsBeforeUpstreams fleet =
-        new HostsBeforeUpstreams(hosts, upstreams, 6, 86, seed, Way.AT_THE_OWNER);
-    fleet.saying(
+  private static PlacementSimulation fleet(int hosts, int upstreams, int pausing, long seed) {
+    PlacementSimulation fleet =
+        new PlacementSimulation(hosts, upstreams, 6, 86, seed, LimitEnforcement.BY_OWNER);
+    fleet.setFeedback(
         name ->
             fleet.events().now() >= PAUSING_FROM_MILLIS && fleet.upstreams().indexOf(name) < pausing
                 ? PAUSE_REQUESTED
@@ -70,7 +70,7 @@
     return fleet;
   }
 
-  private static void assertPausesHold(HostsBeforeUpstreams fleet) {
+  private static void assertPausesHold(PlacementSimulation fleet) {
     assertThat(fleet.pauses()).isNotEmpty();
     for (Arrival requested : fleet.pauses()) {
       long since =
--- a/core/src/test/java/org/marjoramsail/core/placement/UpstreamRateLimitTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/UpstreamRateLimitTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.marjoramsail.core.feedback.UpstreamFeedback;
 import org.marjoramsail.core.model.UpstreamName;
-import org.marjoramsail.core.placement.HostsBeforeUpstreams.Arrival;
-import org.marjoramsail.core.placement.HostsBeforeUpstreams.End;
-import org.marjoramsail.core.placement.HostsBeforeUpstreams.Way;
+import org.marjoramsail.core.placement.PlacementSimulation.Arrival;
+import org.marjoramsail.core.placement.PlacementSimulation.End;
+import org.marjoramsail.core.placement.PlacementSimulation.LimitEnforcement;
 
 /**
  * Guards against hosts that together exceed the request rate that an upstream announces, since an
@@ -47,7 +47,7 @@
   @ParameterizedTest
   @CsvSource({"7, 3, 2, 1", "7, 3, 2, 2", "77, 12, 4, 1", "390, 40, 12, 1"})
   void hostsTogetherObeyTheLimitOfAnUpstream(int hosts, int upstreams, int limited, long seed) {
-    HostsBeforeUpstreams fleet = fleet(hosts, upstreams, limited, seed, Way.AT_THE_OWNER);
+    PlacementSimulation fleet = fleet(hosts, upstreams, limited, seed, LimitEnforcement.BY_OWNER);
 
     fleet.run(DURATION_MILLIS);
 
@@ -58,7 +58,7 @@
   @ParameterizedTest
   @CsvSource({"7, 3, 2, 1", "77, 12, 4, 1", "390, 40, 12, 1"})
   void aLimitIsFullyUsedUnderHigherDemand(int hosts, int upstreams, int limited, long seed) {
-    HostsBeforeUpstreams fleet = fleet(hosts, upstreams, limited, seed, Way.AT_THE_OWNER);
+    PlacementSimulation fleet = fleet(hosts, upstreams, limited, seed, LimitEnforcement.BY_OWNER);
 
     fleet.run(DURATION_MILLIS);
 
@@ -74,8 +74,8 @@
   @ParameterizedTest
   @ValueSource(ints = {77, 390})
   void sharesPerHostExceedALimitThatOwnersKeep(int hosts) {
-    HostsBeforeUpstreams byOwner = fleet(hosts, 12, 4, 1, Way.AT_THE_OWNER);
-    HostsBeforeUpstreams byShares = fleet(hosts, 12, 4, 1, Way.SHARES_OF_HOSTS);
+    PlacementSimulation byOwner = fleet(hosts, 12, 4, 1, LimitEnforcement.BY_OWNER);
+    PlacementSimulation byShares = fleet(hosts, 12, 4, 1, LimitEnforcement.BY_HOST_SHARES);
     byOwner.run(DURATION_MILLIS);
     byShares.run(DURATION_MILLIS);
 
@@ -87,7 +87,7 @@
   /** Owners fail one after the other; a new owner has received no feedback of the previous ones. */
   @Property(seed = "20261203", tries = 12)
   void theLimitHoldsWhenOwnersFail(@ForAll @LongRange(min = 1) long seed) {
-    HostsBeforeUpstreams fleet = fleet(7, 3, 2, seed, Way.AT_THE_OWNER);
+    PlacementSimulation fleet = fleet(7, 3, 2, seed, LimitEnforcement.BY_OWNER);
     Random random = new Random(seed);
     for (long at = LIMITED_FROM_MILLIS; at < DURATION_MILLIS; at += 500 + random.nextInt(2_500)) {
       int failed = random.nextInt(3);
@@ -106,8 +106,8 @@
   @ParameterizedTest
   @ValueSource(ints = {7, 77})
   void theLimitHoldsWhenTheOwnerIsPartitionedFromHostsThatReceivedIt(int hosts) {
-    HostsBeforeUpstreams fleet = fleet(hosts, 3, 2, 1, Way.AT_THE_OWNER);
-    fleet.events().at(8_000, () -> fleet.putOnSide(0, 1));
+    PlacementSimulation fleet = fleet(hosts, 3, 2, 1, LimitEnforcement.BY_OWNER);
+    fleet.events().at(8_000, () -> fleet.moveToPartition(0, 1));
 
     fleet.run(DURATION_MILLIS);
 
@@ -122,8 +122,8 @@
   /** A host that reaches no other host places by the limit that it received itself. */
   @Test
   void anIsolatedHostObeysTheLimit() {
-    HostsBeforeUpstreams fleet = fleet(2, 3, 2, 1, Way.AT_THE_OWNER);
-    fleet.events().at(8_000, () -> fleet.putOnSide(1, 1));
+    PlacementSimulation fleet = fleet(2, 3, 2, 1, LimitEnforcement.BY_OWNER);
+    fleet.events().at(8_000, () -> fleet.moveToPartition(1, 1));
 
     fleet.run(DURATION_MILLIS);
 
@@ -135,10 +135,10 @@
 
   @Test
   void aLoweredLimitIsObeyedAndARemovedLimitIsDropped() {
-    HostsBeforeUpstreams fleet =
-        new HostsBeforeUpstreams(7, 3, SLOTS, WORK_MILLIS, 1, Way.AT_THE_OWNER);
+    PlacementSimulation fleet =
+        new PlacementSimulation(7, 3, SLOTS, WORK_MILLIS, 1, LimitEnforcement.BY_OWNER);
     UpstreamName changing = fleet.upstreams().get(0);
-    fleet.saying(name -> name.equals(changing) ? changing(fleet) : UpstreamFeedback.NOTHING);
+    fleet.setFeedback(name -> name.equals(changing) ? changing(fleet) : UpstreamFeedback.NOTHING);
     fleet.load(3 * LOAD_OF_UPSTREAM, 0, DURATION_MILLIS);
 
     fleet.run(DURATION_MILLIS);
@@ -153,10 +153,10 @@
    */
   @Test
   void aLimitOfZeroIsKeptAndItsEndIsNoticed() {
-    HostsBeforeUpstreams fleet =
-        new HostsBeforeUpstreams(7, 3, SLOTS, WORK_MILLIS, 1, Way.AT_THE_OWNER);
+    PlacementSimulation fleet =
+        new PlacementSimulation(7, 3, SLOTS, WORK_MILLIS, 1, LimitEnforcement.BY_OWNER);
     UpstreamName first = fleet.upstreams().get(0);
-    fleet.saying(
+    fleet.setFeedback(
         name ->
             name.equals(first) && fleet.events().now() < 12_000
                 ? limit(0)
@@ -172,28 +172,28 @@
   /** Requests beyond the limits of all upstreams are refused early, with a time to retry. */
   @Test
   void excessRequestsAreRefusedEarlyWithARetryTime() {
-    HostsBeforeUpstreams fleet = fleet(7, 3, 3, 1, Way.AT_THE_OWNER);
+    PlacementSimulation fleet = fleet(7, 3, 3, 1, LimitEnforcement.BY_OWNER);
 
     fleet.run(DURATION_MILLIS);
 
     assertLimitsHold(fleet, 3);
     List<End> refused =
         fleet.ends().stream()
-            .filter(end -> !end.served() && end.askedAtMillis() > LIMITED_FROM_MILLIS + 1_000)
+            .filter(end -> !end.served() && end.requestedAtMillis() > LIMITED_FROM_MILLIS + 1_000)
             .toList();
     assertThat(refused).isNotEmpty();
     assertThat(refused).allMatch(end -> end.retryAfter().orElse(0L) > 0);
-    assertThat(refused).allMatch(end -> end.endedAtMillis() - end.askedAtMillis() <= 1_500);
+    assertThat(refused).allMatch(end -> end.endedAtMillis() - end.requestedAtMillis() <= 1_500);
     assertThat(refused.stream().filter(UpstreamRateLimitTest::isRefusedBeforeTarget).count())
         .isGreaterThan(refused.size() * 9L / 10);
   }
 
   /** Creates upstreams of which the first ones announce a limit after some time. */
-  private static HostsBeforeUpstreams fleet(
-      int hosts, int upstreams, int limited, long seed, Way way) {
-    HostsBeforeUpstreams fleet =
-        new HostsBeforeUpstreams(hosts, upstreams, SLOTS, WORK_MILLIS, seed, way);
-    fleet.saying(
+  private static PlacementSimulation fleet(
+      int hosts, int upstreams, int limited, long seed, LimitEnforcement way) {
+    PlacementSimulation fleet =
+        new PlacementSimulation(hosts, upstreams, SLOTS, WORK_MILLIS, seed, way);
+    fleet.setFeedback(
         name ->
             fleet.events().now() >= LIMITED_FROM_MILLIS && fleet.upstreams().indexOf(name) < limited
                 ? limit(limitOf(fleet, name))
@@ -202,7 +202,7 @@
     return fleet;
   }
 
-  private static double limitOf(HostsBeforeUpstreams fleet, UpstreamName name) {
+  private static double limitOf(PlacementSimulation fleet, UpstreamName name) {
     return fleet.upstreams().indexOf(name) % 2 == 0 ? 4.1 : 3.5;
   }
 
@@ -210,7 +210,7 @@
     return new UpstreamFeedback(Optional.of(perSecond), false, Optional.empty(), 0);
   }
 
-  private static UpstreamFeedback changing(HostsBeforeUpstreams fleet) {
+  private static UpstreamFeedback changing(PlacementSimulation fleet) {
     long now = fleet.events().now();
     if (now < LIMITED_FROM_MILLIS || now >= 13_000) {
       return UpstreamFeedback.NOTHING;
@@ -222,7 +222,7 @@
     return Math.round(ALLOWED_FACTOR * perSecond * WINDOW_MILLIS / 1_000) + ALLOWED_REQUESTS;
   }
 
-  private static void assertLimitsHold(HostsBeforeUpstreams fleet, int limited) {
+  private static void assertLimitsHold(PlacementSimulation fleet, int limited) {
     for (UpstreamName name : fleet.upstreams().subList(0, limited)) {
       assertThat(mostInAWindow(fleet, name))
           .as("requests that %s gets within four seconds", name)
@@ -231,20 +231,20 @@
   }
 
   /** Returns the used share of the limit of an upstream after hosts had time to apply it. */
-  private static double usedShare(HostsBeforeUpstreams fleet, UpstreamName name) {
+  private static double usedShare(PlacementSimulation fleet, UpstreamName name) {
     long from = LIMITED_FROM_MILLIS + PROPAGATION_MILLIS;
     double seconds = (DURATION_MILLIS - from) / 1_000.0;
     return arrivals(fleet, name, from, DURATION_MILLIS) / (seconds * limitOf(fleet, name));
   }
 
-  private static long arrivals(HostsBeforeUpstreams fleet, UpstreamName name, long from, long to) {
+  private static long arrivals(PlacementSimulation fleet, UpstreamName name, long from, long to) {
     return fleet.arrivals().stream()
         .filter(one -> one.upstream().equals(name))
         .filter(one -> one.atMillis() >= from && one.atMillis() < to)
         .count();
   }
 
-  private static long mostInAWindow(HostsBeforeUpstreams fleet, UpstreamName name) {
+  private static long mostInAWindow(PlacementSimulation fleet, UpstreamName name) {
     return mostInAWindow(fleet, name, arrival -> true);
   }
 
@@ -253,7 +253,7 @@
    * limit.
    */
   private static long mostInAWindow(
-      HostsBeforeUpstreams fleet, UpstreamName name, Predicate<Arrival> isCounted) {
+      PlacementSimulation fleet, UpstreamName name, Predicate<Arrival> isCounted) {
     List<Arrival> counted =
         fleet.arrivals().stream()
             .filter(arrival -> arrival.upstream().equals(name))
@@ -275,12 +275,12 @@
 
   /** Returns whether a request was refused before its latency target. */
   private static boolean isRefusedBeforeTarget(End end) {
-    return end.endedAtMillis() - end.askedAtMillis() <= HostsBeforeUpstreams.TARGET_MILLIS;
+    return end.endedAtMillis() - end.requestedAtMillis() <= PlacementSimulation.TARGET_MILLIS;
   }
 
-  private static boolean hasReceivedLimit(HostsBeforeUpstreams fleet, Arrival arrival) {
+  private static boolean hasReceivedLimit(PlacementSimulation fleet, Arrival arrival) {
     return fleet
-        .toldAt(arrival.upstream(), arrival.host())
+        .firstFeedbackAt(arrival.upstream(), arrival.host())
         .filter(receivedAt -> arrival.atMillis() >= receivedAt + REACTION_MILLIS)
         .isPresent();
   }
