--- a/core/src/main/java/org/marjoramsail/core/placement/AttemptPhase.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/AttemptPhase.java
@@ -1,10 +1,10 @@
 package org.marjoramsail.core.placement;
 
-/** How far an attempt has come; entry daemons tell the owner. */
+/** Phase of an attempt, which the entry daemon reports to the owner. */
 public enum AttemptPhase {
-  /** The prompt is being read. */
+  /** The prompt is being prefilled. */
   PREFILLING,
-  /** The KV cache exists on the prefill upstream, which is free again. */
+  /** The KV cache exists on the prefill upstream, whose slot is released. */
   PREFILLED,
   /** The first token has arrived. */
   GENERATING,
--- a/core/src/main/java/org/marjoramsail/core/placement/AttemptReport.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/AttemptReport.java
@@ -6,17 +6,17 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * What an entry daemon tells the owner of a granted attempt: its progress or its end.
+ * Report of an entry daemon to the owner of a granted attempt on its progress or its end.
  *
  * @param request the request
  * @param attempt the attempt
- * @param phase how far it has come
+ * @param phase the phase that the attempt has reached
  * @param result present when {@code phase} is {@code ENDED}
- * @param failedUpstream the upstream to which a failure belongs
- * @param cachedPromptTokens how much of the prompt the upstream had in its cache, once known
- * @param tookMillis how long the phase that just ended took; zero when it is not known
- * @param outputTokens tokens generated so far
- * @param longestPauseMillis the longest pause between two pieces so far; zero where it is not known
+ * @param failedUpstream the upstream to which a failure is attributed
+ * @param cachedPromptTokens the number of prompt tokens found in the upstream's cache, once known
+ * @param tookMillis the duration of the phase that just ended; zero when it is not known
+ * @param outputTokens the number of tokens generated so far
+ * @param longestPauseMillis the longest pause between two chunks so far; zero where it is not known
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record AttemptReport(
@@ -30,7 +30,7 @@
     int outputTokens,
     long longestPauseMillis) {
 
-  /** A report without pauses. */
+  /** Creates a report without a pause. */
   public AttemptReport(
       RequestId request,
       int attempt,
--- a/core/src/main/java/org/marjoramsail/core/placement/AttemptResult.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/AttemptResult.java
@@ -1,18 +1,18 @@
 package org.marjoramsail.core.placement;
 
-/** How an attempt ended, as far as placement has to know. */
+/** Result of an attempt, in the detail that placement requires. */
 public enum AttemptResult {
   COMPLETED(false),
   CANCELLED(false),
-  /** The upstream said that it took no new work. */
+  /** The upstream responded that it accepts no new work. */
   REFUSED(true),
-  /** The upstream had no room just then; nothing is wrong with it. */
+  /** The upstream had no free capacity at that moment, which is not a fault. */
   FULL(false),
   CONNECT_FAILED(true),
-  /** The upstream failed or the connection was cut after the send. */
+  /** The upstream failed or the connection was cut after the request was sent. */
   FAILED(true),
   TIMED_OUT(true),
-  /** The KV cache was gone before the decode upstream had imported it. */
+  /** The KV cache was removed before the decode upstream had imported it. */
   KV_LOST(false);
 
   private final boolean upstreamFault;
@@ -21,7 +21,7 @@
     this.upstreamFault = upstreamFault;
   }
 
-  /** Whether it counts against the upstream. */
+  /** Returns whether the result counts against the upstream. */
   public boolean isUpstreamFault() {
     return upstreamFault;
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/DirectPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/DirectPlacer.java
@@ -16,8 +16,8 @@
 import org.marjoramsail.core.model.UpstreamRole;
 
 /**
- * The baselines: decides each attempt at once, from lagged load reports, without a queue and
- * without reservations.
+ * Base class of the baseline policies, which place each attempt at once by the last load reports,
+ * without a queue or reservations.
  */
 abstract class DirectPlacer implements Placer {
 
@@ -34,7 +34,7 @@
     updateCandidates(setup.configuration());
   }
 
-  /** Picks one of at least one candidate, all of one role. */
+  /** Picks one of a non-empty list of candidates, all of one role. */
   abstract Candidate pick(List<Candidate> choices);
 
   @Override
@@ -188,7 +188,7 @@
         0);
   }
 
-  /** One upstream as its last load report shows it. */
+  /** An upstream with its last load report. */
   record Candidate(
       UpstreamName name,
       UpstreamRole role,
@@ -210,7 +210,7 @@
       return isListed && report.filter(LoadReport::leaving).isEmpty();
     }
 
-    /** Reported requests over slots; zero before its first report. */
+    /** Returns the reported requests divided by slots; zero before the first report. */
     double reportedLoad() {
       int held = report.map(it -> it.running() + it.waiting()).orElse(0);
       return held / (double) Math.max(1, slots);
--- a/core/src/main/java/org/marjoramsail/core/placement/EntryAction.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/EntryAction.java
@@ -3,19 +3,19 @@
 import org.marjoramsail.core.model.DaemonId;
 import org.marjoramsail.core.model.RequestId;
 
-/** What the shell of an entry daemon has to do for {@link EntryPlacement}. */
+/** An action that the I/O layer of an entry daemon carries out for {@link EntryPlacement}. */
 public sealed interface EntryAction {
 
   /**
-   * Send a message to the owner of a shard, which may be the daemon itself.
+   * Sends a message to the owner of a shard, which may be the daemon itself.
    *
    * @param to the owner
-   * @param message what to send
+   * @param message the message
    */
   record Send(DaemonId to, PlacementMessage message) implements EntryAction {}
 
   /**
-   * Answer the request that asked for a place.
+   * Passes the result of placement to the request.
    *
    * @param request the request
    * @param result the grant or the refusal
--- a/core/src/main/java/org/marjoramsail/core/placement/EntryPlacement.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/EntryPlacement.java
@@ -16,14 +16,14 @@
 import org.marjoramsail.core.placement.PlacementMessage.Holding;
 
 /**
- * The entry daemon's side of placement: which attempt is with which owner.
+ * Tracks the attempts of one entry daemon and the shard owner that each is registered with.
  *
- * <p>Ownership is soft: the entry keeps the truth about its own attempts and registers them with
- * whoever owns the shard now. An owner that leaves, dies or falls silent costs a registration with
- * the next in rank; a grant from an owner that is no longer asked is given back at once, so that an
- * attempt never holds the slots of two grants.
+ * <p>The entry daemon is authoritative for its own attempts and registers them with the current
+ * owner of their shard. When an owner leaves, fails or does not respond, its attempts are
+ * registered with the next owner in rank. A grant from an owner that the attempt is no longer
+ * registered with is withdrawn at once, so that an attempt never holds the slots of two grants.
  *
- * <p>Not safe for several threads; the shell calls it under one lock.
+ * <p>Not thread-safe; the I/O layer calls it under one lock.
  */
 public final class EntryPlacement {
 
@@ -58,12 +58,12 @@
   private final Map<OwnedShard, Long> lastHoldingsMillis = new HashMap<>();
 
   /**
-   * Creates the entry side of one daemon.
+   * Creates the tracker of one entry daemon.
    *
    * @param self the daemon
-   * @param timings how long to wait for owners
-   * @param directory who owns what; asked again on each tick
-   * @param conditions what upstreams said of themselves to this daemon
+   * @param timings time-outs for owners and intervals of repeated holdings
+   * @param directory the owners and upstreams of shards; queried again on each tick
+   * @param feedback the feedback that upstreams have sent to this daemon
    */
   public EntryPlacement(
       DaemonId self,
@@ -77,7 +77,10 @@
     this.unresponsiveOwners = new UnresponsiveOwners(timings);
   }
 
-  /** Registers an attempt with the owner of its shard. */
+  /**
+   * Registers an attempt with the owner of its shard; an earlier attempt of the request is
+   * withdrawn.
+   */
   public List<EntryAction> place(PlacementRequest request, ShardId shard, long nowMillis) {
     List<EntryAction> actions = new ArrayList<>();
     TrackedAttempt previous = attempts.remove(request.request());
@@ -93,7 +96,10 @@
     return actions;
   }
 
-  /** Passes on what becomes of a granted attempt; an attempt that is not held is ignored. */
+  /**
+   * Sends the progress or the end of an attempt to its owner; a report of an unknown attempt is
+   * ignored.
+   */
   public List<EntryAction> report(AttemptReport report, long nowMillis) {
     TrackedAttempt attempt = attempts.get(report.request());
     if (attempt == null || attempt.request.attempt() != report.attempt()) {
@@ -110,7 +116,7 @@
                 attempt.shard, report, feedbackOf(attempt.shard, nowMillis))));
   }
 
-  /** Gives up a request, whether it waits or was granted. */
+  /** Withdraws a request, whether it waits or was granted. */
   public List<EntryAction> withdraw(RequestId request) {
     TrackedAttempt attempt = attempts.remove(request);
     if (attempt == null) {
@@ -119,7 +125,7 @@
     return List.of(withdrawal(attempt));
   }
 
-  /** Handles the word of an owner. */
+  /** Handles a message from an owner. */
   public List<EntryAction> handle(DaemonId from, PlacementMessage message, long nowMillis) {
     unresponsiveOwners.responded(from);
     if (message instanceof PlacementMessage.Granted granted) {
@@ -134,13 +140,16 @@
     return List.of();
   }
 
-  /** Records that the connection to a daemon is gone: its shards move at once. */
+  /** Records that the connection to an owner has failed, and moves its attempts to other owners. */
   public List<EntryAction> ownerDisconnected(DaemonId owner, long nowMillis) {
     unresponsiveOwners.disconnected(owner, nowMillis);
     return moveToCurrentOwners(nowMillis);
   }
 
-  /** Moves attempts whose owner changed or fell silent, and repeats holdings that are due. */
+  /**
+   * Moves attempts whose owner has changed or does not respond, and sends the holdings that are
+   * due.
+   */
   public List<EntryAction> tick(long nowMillis) {
     List<EntryAction> actions = moveToCurrentOwners(nowMillis);
     actions.addAll(holdingsDue(nowMillis));
@@ -148,7 +157,7 @@
     return actions;
   }
 
-  /** How many attempts are held or waited for. */
+  /** Returns the number of attempts that wait or are granted. */
   public int size() {
     return attempts.size();
   }
@@ -162,8 +171,8 @@
             && attempt.request.attempt() == grant.attempt()
             && (attempt.grant.isEmpty() || attempt.grant.get().equals(grant));
     if (!isExpected) {
-      // A grant that crossed a withdrawal or came from a former owner would hold its slots until
-      // the owner forgets it; giving it back frees them after one message.
+      // The grant crossed a withdrawal or comes from a former owner. Withdrawing it frees its slots
+      // now rather than after the owner's expiry.
       return List.of(withdrawal(from, granted.shard(), grant.request(), grant.attempt()));
     }
     if (attempt.grant.isPresent()) {
@@ -195,7 +204,7 @@
     return List.of(new EntryAction.Complete(refused.request(), result));
   }
 
-  /** Where only pauses are in the way, a caller comes back when the first of them ends. */
+  /** For a refusal without a usable upstream, sets the retry time to the end of the first pause. */
   private Refusal withRetryAfterFirstPause(Refusal refusal, ShardId shard, long nowMillis) {
     if (refusal.reason() != RefusalReason.NO_UPSTREAM) {
       return refusal;
--- a/core/src/main/java/org/marjoramsail/core/placement/LeastReportedLoadPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/LeastReportedLoadPlacer.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Picks the upstream that last reported the least load, one of them by chance. */
+/** Picks an upstream with the least reported load, at random among equals. */
 final class LeastReportedLoadPlacer extends DirectPlacer {
 
   private final RandomGenerator random;
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementCounter.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementCounter.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** What a placer counts besides its grants and refusals. */
+/** Counters of a placer. */
 public enum PlacementCounter {
   GRANTED,
   GRANTED_LOCAL_PREFILL,
@@ -16,7 +16,7 @@
   LATE_REPORT_DROPPED,
   LATE_RESTORE_DROPPED;
 
-  /** The counter's name in lower case with hyphens. */
+  /** Returns the counter's name in lower case with hyphens. */
   public String code() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementMessage.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementMessage.java
@@ -9,41 +9,46 @@
 import org.marjoramsail.core.model.RequestId;
 
 /**
- * What entry daemons and owners of shards say to each other.
+ * Message between an entry daemon and the owner of a shard.
  *
- * <p>Any of these may be lost or come late. The entry repeats what it holds in {@link Holdings};
- * that repairs a lost message of either side.
+ * <p>Any message may be lost or delayed. The entry daemon repeats its attempts in {@link Holdings},
+ * which repairs the loss of a message in either direction.
+ *
+ * <p>The names of the records and of their components are part of the wire format.
  */
 public sealed interface PlacementMessage extends PeerMessage {
 
-  /** The shard that it is about. */
+  /** Returns the shard that the message is about. */
   ShardId shard();
 
   /**
-   * What the entry has heard from upstreams of the shard that the owner has to know.
+   * Returns the feedback of the shard's upstreams that the entry daemon relays to the owner.
    *
-   * <p>It goes with each message that may lead to a grant, so that an owner needs no memory of
-   * owners before it: whatever it grants to a host, it knows what that host was told. Mostly it is
-   * nothing, and then takes no bytes.
+   * <p>It is part of each message that may lead to a grant, so that a new owner requires no state
+   * of earlier owners: when it grants an upstream to a host, it has the feedback that this host
+   * received. The list is usually empty and is then not encoded.
    */
   default List<RelayedFeedback> conditions() {
     return List.of();
   }
 
-  /** Entry to owner: place this attempt; saying it again changes nothing. */
+  /** Entry daemon to owner: places an attempt; repeats have no effect. */
   record Place(
       ShardId shard,
       PlacementRequest request,
       @JsonInclude(JsonInclude.Include.NON_EMPTY) List<RelayedFeedback> conditions)
       implements PlacementMessage {
 
-    /** Copies the list, which is absent where it is empty. */
+    /** Copies the list, which is null where the encoded message has none. */
     public Place {
       conditions = orNone(conditions);
     }
   }
 
-  /** Entry to owner: another owner granted this attempt, which still holds its upstreams. */
+  /**
+   * Entry daemon to owner: registers an attempt that another owner granted and that still holds its
+   * upstreams.
+   */
   record Restore(
       ShardId shard,
       PlacementRequest request,
@@ -52,50 +57,56 @@
       @JsonInclude(JsonInclude.Include.NON_EMPTY) List<RelayedFeedback> conditions)
       implements PlacementMessage {
 
-    /** Copies the list, which is absent where it is empty. */
+    /** Copies the list, which is null where the encoded message has none. */
     public Restore {
       conditions = orNone(conditions);
     }
   }
 
-  /** Entry to owner: the progress or the end of a granted attempt. */
+  /** Entry daemon to owner: reports the progress or the end of a granted attempt. */
   record Report(
       ShardId shard,
       AttemptReport report,
       @JsonInclude(JsonInclude.Include.NON_EMPTY) List<RelayedFeedback> conditions)
       implements PlacementMessage {
 
-    /** Copies the list, which is absent where it is empty. */
+    /** Copies the list, which is null where the encoded message has none. */
     public Report {
       conditions = orNone(conditions);
     }
   }
 
-  /** Entry to owner: forget this attempt, whether it waits or was granted. */
+  /** Entry daemon to owner: removes an attempt, whether it waits or was granted. */
   record Withdraw(ShardId shard, RequestId request, int attempt) implements PlacementMessage {}
 
-  /** Entry to owner: all that the entry has with this owner in this shard. */
+  /**
+   * Entry daemon to owner: lists all attempts that the entry daemon has registered with this owner
+   * in this shard.
+   */
   record Holdings(ShardId shard, List<Holding> held) implements PlacementMessage {}
 
-  /** Owner to entry: the attempt waits. */
+  /** Owner to entry daemon: the attempt waits. */
   record Queued(ShardId shard, RequestId request, int attempt) implements PlacementMessage {}
 
-  /** Owner to entry: upstreams are reserved. */
+  /** Owner to entry daemon: upstreams are reserved. */
   record Granted(ShardId shard, Grant grant) implements PlacementMessage {}
 
-  /** Owner to entry: the attempt gets no upstreams and was sent to none. */
+  /** Owner to entry daemon: the attempt waits. */
   record Refused(ShardId shard, RequestId request, int attempt, Refusal refusal)
       implements PlacementMessage {}
 
-  /** Owner to entry, answering {@link Holdings}: these it does not know. */
+  /**
+   * Owner to entry daemon, in response to {@link Holdings}: lists the attempts that are not
+   * registered here as described.
+   */
   record Unknown(ShardId shard, List<Holding> unknown) implements PlacementMessage {}
 
   /**
-   * One attempt that an entry has with an owner.
+   * An attempt that an entry daemon has registered with an owner.
    *
    * @param request the request
    * @param attempt the attempt
-   * @param granted whether the entry knows of its grant
+   * @param granted whether the entry daemon has received its grant
    */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record Holding(RequestId request, int attempt, boolean granted) {}
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementRequest.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementRequest.java
@@ -12,31 +12,33 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * What an entry daemon asks of the owner of a shard: upstreams for one attempt of one request.
+ * Request of an entry daemon to the owner of a shard for the placement of one attempt.
  *
- * <p>Times are relative, so that they hold on the clock of the owner.
+ * <p>Times are relative, so that they are valid on the clock of the owner.
  *
  * @param request the request
- * @param attempt from one; rises with each try
+ * @param attempt the number of the attempt, from one
  * @param entry the daemon that holds the caller's connection
- * @param service the service asked for
- * @param organisation whose request it is
- * @param rule the name of the rule that matched, for the operators' questions
+ * @param service the requested service
+ * @param organisation the organisation that the request belongs to
+ * @param rule the name of the rule that matched, for operators
  * @param serviceClass its urgency
- * @param promptTokens length of the prompt; zero for plain services
- * @param outputTokens how many tokens at most it generates; zero for plain services
- * @param prefixHashes chained hashes of the prompt's {@linkplain SampledPrefixHashes marks}
- * @param waitedMillis how long ago the request arrived
- * @param firstTokenWithinMillis how long until its first token is late
- * @param deadlineWithinMillis how long until its answer is useless
+ * @param promptTokens the length of the prompt; zero for plain services
+ * @param outputTokens the maximum number of generated tokens; zero for plain services
+ * @param prefixHashes chained hashes of the prompt's {@linkplain SampledPrefixHashes sampled
+ *     prefixes}
+ * @param waitedMillis the time since the request arrived
+ * @param firstTokenWithinMillis the time left until the target of the first token
+ * @param deadlineWithinMillis the time left until the deadline
  * @param avoid upstreams on which earlier attempts failed
- * @param kvHeldBy a prefill upstream on which its KV cache still lives
- * @param alone whether it is suspected of crashing upstreams and shares one with no other suspect
- * @param contentHash hash of what the caller sent, by which it is known again when it comes back;
- *     zero where that is of no use
+ * @param kvHeldBy a prefill upstream that still holds the KV cache of the prompt
+ * @param alone whether the request is suspected of crashing upstreams and must not share one with
+ *     another suspect
+ * @param contentHash hash of the request's content, by which a retry of the caller is recognised;
+ *     zero where retries are not recognised
  * @param chunking how its output is split into chunks
- * @param countedTokens what it counts for against its organisation's limit in tokens; zero for a
- *     repeat, which was counted before
+ * @param countedTokens the tokens counted against the token limit of its organisation; zero for a
+ *     later attempt, whose tokens were counted before
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record PlacementRequest(
@@ -62,13 +64,15 @@
 
   private static final int FIRST_ATTEMPT = 1;
 
-  /** Copies the lists, so that the value cannot change. */
+  /** Copies the lists, so that the value is immutable. */
   public PlacementRequest {
     prefixHashes = List.copyOf(prefixHashes);
     avoid = List.copyOf(avoid);
   }
 
-  /** A request whose caller is not known again, and whose answer comes token by token. */
+  /**
+   * Creates a request whose retries are not recognised and whose output is streamed token by token.
+   */
   public PlacementRequest(
       RequestId request,
       int attempt,
@@ -108,22 +112,25 @@
         promptTokens + outputTokens);
   }
 
-  /** Whether an earlier attempt of the request was placed, and counted against its limits. */
+  /**
+   * Returns whether this is a later attempt of a request that was already counted against its
+   * limits.
+   */
   public boolean isRepeat() {
     return attempt > FIRST_ATTEMPT;
   }
 
-  /** Whether it asks for engines rather than for a plain service. */
+  /** Returns whether the request requires a model engine rather than a plain service. */
   public boolean isGeneration() {
     return outputTokens > 0;
   }
 
-  /** How much memory of a decode upstream it takes by its end, in tokens. */
+  /** Returns the memory of a decode upstream, in tokens, that the request occupies at its end. */
   public int memoryTokens() {
     return promptTokens + outputTokens;
   }
 
-  /** The same request, kept from some upstreams more. */
+  /** Returns a copy that also avoids the given upstreams. */
   public PlacementRequest alsoAvoiding(Set<UpstreamName> more) {
     if (avoid.containsAll(more)) {
       return this;
@@ -134,9 +141,9 @@
   }
 
   /**
-   * The same request as it stands some time later.
+   * Returns a copy whose relative times have advanced.
    *
-   * @param millis how much later, in milliseconds
+   * @param millis the elapsed time, in milliseconds
    */
   public PlacementRequest afterElapsed(long millis) {
     return copy(millis, avoid);
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementResult.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementResult.java
@@ -4,20 +4,20 @@
 import org.marjoramsail.core.model.DaemonId;
 import org.marjoramsail.core.model.RequestId;
 
-/** What a placer decided of one attempt; the shell sends it to the entry daemon. */
+/** Decision of a placer on one attempt; the I/O layer sends it to the entry daemon. */
 public sealed interface PlacementResult {
 
-  /** The daemon that holds the caller's connection. */
+  /** Returns the daemon that holds the caller's connection. */
   DaemonId entry();
 
-  /** The request that it is about. */
+  /** Returns the request that the decision is about. */
   RequestId request();
 
   /**
    * Upstreams are reserved.
    *
-   * @param entry whom to tell
-   * @param grant what is reserved
+   * @param entry the entry daemon to notify
+   * @param grant the reservation
    */
   record Granted(DaemonId entry, Grant grant) implements PlacementResult {
     @Override
@@ -27,12 +27,12 @@
   }
 
   /**
-   * The attempt gets no upstreams and was not sent to any.
+   * The attempt is refused and was not sent to any upstream.
    *
-   * @param entry whom to tell
+   * @param entry the entry daemon to notify
    * @param request the request
    * @param attempt the attempt
-   * @param refusal why; its run state speaks of this attempt only
+   * @param refusal the reason; its run state refers to this attempt only
    */
   record Refused(DaemonId entry, RequestId request, int attempt, Refusal refusal)
       implements PlacementResult {}
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementTimings.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementTimings.java
@@ -1,15 +1,16 @@
 package org.marjoramsail.core.placement;
 
 /**
- * How long entries and owners wait for each other, in milliseconds.
+ * Time-outs and intervals of the messages between entry daemons and owners, in milliseconds.
  *
- * @param holdingsMillis how often an entry repeats what it holds to an owner with whom something
- *     waits
- * @param idleHoldingsMillis the same where everything is granted
- * @param responseTimeoutMillis how long an owner may leave an entry unanswered before the entry
- *     turns to the next in rank
- * @param skipMillis how long an owner that was silent is passed over
- * @param expiryMillis how long an owner keeps an attempt of which its entry says nothing
+ * @param holdingsMillis the interval at which an entry daemon repeats its holdings to an owner with
+ *     which an attempt waits
+ * @param idleHoldingsMillis the same interval where all attempts are granted
+ * @param responseTimeoutMillis the time without a response after which an entry daemon turns to the
+ *     next owner in rank
+ * @param skipMillis the time for which an unresponsive owner is skipped
+ * @param expiryMillis the time for which an owner keeps an attempt that its entry daemon does not
+ *     report
  */
 public record PlacementTimings(
     long holdingsMillis,
@@ -18,7 +19,10 @@
     long skipMillis,
     long expiryMillis) {
 
-  /** The timings of a deployment: an owner's death is noticed within 0.9 s. */
+  /**
+   * Returns the timings of a deployment, with which the failure of an owner is detected within 0.9
+   * s.
+   */
   public static PlacementTimings standard() {
     return new PlacementTimings(500, 1_000, 400, 2_000, 3_500);
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/Placer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/Placer.java
@@ -9,81 +9,89 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * Decides upstreams for the requests of one shard.
+ * Chooses upstreams for the requests of one shard.
  *
- * <p>One instance has one shard and is called under that shard's lock. Each call takes the time and
- * gives what it decided, for the called request or for others. The baselines and the reserving
- * placer all have this face, so that they serve the same load.
+ * <p>Each instance serves one shard and is called under the lock of that shard. Each call takes the
+ * current time and returns the decisions that follow from it, for the given request or for others.
+ * The reserving placer and the baseline policies implement this interface, so that they can be
+ * compared under the same load.
  */
 public interface Placer {
 
-  /** Handles the shard's upstreams and the organisations' limits from a newer configuration. */
+  /**
+   * Applies the upstreams of the shard and the limits of organisations from a newer configuration.
+   */
   List<PlacementResult> configure(Configuration configuration, long nowMillis);
 
-  /** Queues or decides one attempt; the same attempt again replaces nothing. */
+  /** Queues or places one attempt; placing the same attempt again reserves nothing more. */
   List<PlacementResult> place(PlacementRequest request, long nowMillis);
 
   /**
-   * Takes over an attempt that another owner granted, so that its slots count here.
+   * Registers an attempt that another owner granted, so that its slots are counted here.
    *
-   * @param phase how far it has come
+   * @param phase the progress of the attempt
    */
   List<PlacementResult> restore(
       PlacementRequest request, Grant grant, AttemptPhase phase, long nowMillis);
 
-  /** Takes progress or the end of a granted attempt; unknown attempts are dropped and counted. */
+  /**
+   * Records the progress or the end of a granted attempt; reports of unknown attempts are ignored.
+   */
   List<PlacementResult> report(AttemptReport report, long nowMillis);
 
-  /** Forgets a request that waits or was granted, because its caller is gone. */
+  /** Removes a waiting or granted request, whose result is no longer required. */
   List<PlacementResult> withdraw(RequestId request, long nowMillis);
 
-  /** Handles what an upstream says of its load. */
+  /** Records a load report of an upstream. */
   List<PlacementResult> load(LoadReport report, long nowMillis);
 
   /**
-   * Handles what an upstream said of itself in an answer to a host.
+   * Records feedback that an upstream sent with a response to a host.
    *
-   * @param from the host
+   * @param from the daemon on that host
    */
   default List<PlacementResult> acceptFeedback(
       RelayedFeedback condition, DaemonId from, long nowMillis) {
     return List.of();
   }
 
-  /** What has come to be believed of upstreams by their own words since this was last asked. */
+  /** Returns the upstream feedback accepted since the last call. */
   default List<AcceptedFeedback> takeAcceptedFeedback() {
     return List.of();
   }
 
-  /** Records that an upstream is leaving or unreachable, however that was learned, or is back. */
+  /** Records whether an upstream is available, whatever the source of this information. */
   List<PlacementResult> availability(UpstreamName upstream, boolean available, long nowMillis);
 
-  /** Drops all that a dead daemon had waiting or granted. */
+  /** Releases the waiting and granted attempts of a daemon that has failed. */
   List<PlacementResult> daemonFailed(DaemonId daemon, long nowMillis);
 
   /**
-   * Records that a daemon lives that was said to be dead: what it asks for counts again. A policy
-   * that remembers no dead daemons has nothing to do.
+   * Records that a daemon that was declared failed is running, so that its requests are accepted
+   * again. Policies that do not store failed daemons ignore this.
    */
   default void daemonRecovered(DaemonId daemon) {}
 
-  /** Does what time has made due; called every few milliseconds. */
+  /** Runs time-dependent work; called every few milliseconds. */
   List<PlacementResult> tick(long nowMillis);
 
-  /** An engine that should change its role, if the policy looks after roles. */
+  /** Returns a recommended change of an engine's role, if the policy manages roles. */
   default Optional<RoleChange> recommendedRoleChange(long nowMillis) {
     return Optional.empty();
   }
 
-  /** Whether an attempt waits, so that ticks have to come often; true where that is not known. */
+  /**
+   * Returns whether an attempt waits, so that frequent ticks are required; true where that is not
+   * known.
+   */
   default boolean isWaiting() {
     return true;
   }
 
-  /** What runs and what waits here, for operators. */
+  /** Returns the running and waiting attempts, for operators. */
   ShardView view(long nowMillis);
 
-  /** Whether a request waits or runs here; false where that is not known. */
+  /** Returns whether a request waits or runs here; false where that is not known. */
   default boolean holds(RequestId request) {
     return false;
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacerEvent.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacerEvent.java
@@ -2,10 +2,13 @@
 
 import java.util.List;
 
-/** A fact about upstreams, limits or configuration, told to a placer under its shard's lock. */
+/**
+ * An event about upstreams, limits or configuration, applied to a placer under the lock of its
+ * shard.
+ */
 @FunctionalInterface
 public interface PlacerEvent {
 
-  /** Tells the fact and gives what the placer decided because of it. */
+  /** Applies the event to the placer and returns the decisions that follow from it. */
   List<PlacementResult> applyTo(Placer placer, long nowMillis);
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacerSetup.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacerSetup.java
@@ -7,15 +7,15 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * All that a placer needs from the start.
+ * The parameters for the creation of a placer.
  *
- * @param shard the shard that it decides for
+ * @param shard the shard that it serves
  * @param configuration the configuration in force
- * @param settings first estimates and bounds
- * @param zoneOf the availability zone of a daemon, where it is known
+ * @param settings initial estimates and bounds
+ * @param zoneOf returns the availability zone of a daemon, where it is known
  * @param random seeded by the caller; only some policies draw from it
- * @param isTakenOver whether another owner may have granted before, so that this one has to settle;
- *     false where the shard was never owned
+ * @param isTakenOver whether another owner may have granted attempts before, so that this placer
+ *     waits for them to be restored; false where the shard never had an owner
  */
 public record PlacerSetup(
     ShardId shard,
--- a/core/src/main/java/org/marjoramsail/core/placement/RoleAdvisor.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/RoleAdvisor.java
@@ -6,14 +6,12 @@
 import java.util.Optional;
 import org.marjoramsail.core.model.UpstreamRole;
 
-/** Says which engine of a shard should change its role, by what was learned of its requests. */
+/** Recommends changes of the roles of a shard's engines from the estimates of its requests. */
 final class RoleAdvisor {
 
   /**
-   * After so many grants the sizes of requests are known well enough.
-   *
-   * <p>A pool that waited for its first answers before it moved an engine went into the first burst
-   * with one engine of six on its way, and moved it while streams were refused.
+   * The number of grants after which the estimates of request sizes are used. It is small, so that
+   * a badly divided pool is corrected before its first burst of load.
    */
   private static final int MINIMUM_GRANTS = 6;
 
@@ -27,7 +25,10 @@
     this.settings = settings;
   }
 
-  /** The engine that would serve more in the other role, if there is one. */
+  /**
+   * Returns a change of an engine that would serve more requests in the other role, if there is
+   * one.
+   */
   Optional<RoleChange> recommend(long nowMillis) {
     if (estimates.grants() < MINIMUM_GRANTS) {
       return Optional.empty();
--- a/core/src/main/java/org/marjoramsail/core/placement/RoleBalance.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/RoleBalance.java
@@ -1,33 +1,35 @@
 package org.marjoramsail.core.placement;
 
 /**
- * Finds how many engines of a pool should read prompts, so that reading and generating keep up with
- * each other.
+ * Computes the number of engines of a pool that should prefill, so that neither prefill nor decode
+ * limits the throughput alone.
  *
- * <p>A pool serves as many requests as its slower side: with four engines that read nine prompts a
- * second each before six that end two answers a second each, two thirds of the reading is idle at
- * the peak while requests wait for memory on the other side.
+ * <p>The throughput of a pool is that of its slower side, so an excess of engines on one side is
+ * idle while requests wait for the other.
  */
 final class RoleBalance {
 
-  /** A change takes an engine out for seconds, so it has to bring at least this much more. */
+  /**
+   * The minimum ratio of new to current throughput for a change, since an engine is unavailable for
+   * seconds while its role changes.
+   */
   private static final double MINIMUM_GAIN = 1.12;
 
   /**
-   * An engine that generates is taken out only for more: the estimates of reading move with each
-   * burst, and engines that go to and fro with them are out for half of the time.
+   * The minimum ratio for more prefill engines. It is higher because the estimates of prefill times
+   * vary with each burst, and engines must not change back and forth with them.
    */
   private static final double MINIMUM_GAIN_OF_PREFILL = 1.6;
 
   private RoleBalance() {}
 
   /**
-   * The best number of engines that read prompts.
+   * Returns the best number of prefill engines.
    *
-   * @param engines how many engines there are
-   * @param reading how many read prompts now
-   * @param rates what one engine does
-   * @return {@code reading} where another number brings too little
+   * @param engines the number of engines
+   * @param prefillCount the current number of prefill engines
+   * @param rates the throughput of one engine
+   * @return {@code prefillCount} where another number gains too little
    */
   static int bestPrefillCount(int engines, int prefillCount, Rates rates) {
     int best = prefillCount;
@@ -45,20 +47,21 @@
   }
 
   /**
-   * What one engine does in a millisecond.
+   * Throughput of one engine, per millisecond.
    *
-   * @param reads prompts that a prefill engine reads
-   * @param readsBeside prompts that a decode engine would read if it did nothing else; zero where
-   *     decode engines read none
-   * @param ends answers that a decode engine ends while it reads none
+   * @param prefillRate the prompts that a prefill engine prefills
+   * @param localPrefillRate the prompts that a decode engine would prefill if it did nothing else;
+   *     zero where there is no local prefill
+   * @param decodeRate the outputs that a decode engine completes while it prefills nothing
    */
   record Rates(double prefillRate, double localPrefillRate, double decodeRate) {
 
     /**
-     * Requests that a pool serves in a millisecond.
+     * Returns the requests that a pool serves in a millisecond.
      *
-     * <p>What the prefill engines leave unread the decode engines read, and have the less time for
-     * answers: with {@code x} served, each spends {@code (x - read) / readsBeside} of its time so.
+     * <p>Prompts beyond the capacity of the prefill engines are prefilled by the decode engines,
+     * which then have less time to decode: to serve {@code x} requests they spend {@code (x -
+     * prefilled) / localPrefillRate} engine milliseconds on prefill.
      */
     double ofPool(int engines, int prefillCount) {
       double prefilled = prefillCount * prefillRate;
--- a/core/src/main/java/org/marjoramsail/core/placement/RoleChange.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/RoleChange.java
@@ -4,9 +4,9 @@
 import org.marjoramsail.core.model.UpstreamRole;
 
 /**
- * An engine that would be of more use in another role.
+ * A change of an engine's role.
  *
- * @param upstream which
- * @param role the role that it should have
+ * @param upstream the engine
+ * @param role the new role
  */
 public record RoleChange(UpstreamName upstream, UpstreamRole role) {}
--- a/core/src/main/java/org/marjoramsail/core/placement/RoleChangeLimiter.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/RoleChangeLimiter.java
@@ -8,27 +8,33 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * Says which change of a role may be begun next, so that few engines are out at a time and none is
- * turned to and fro. Not safe for several threads.
+ * Limits how many engines change their role at a time and how soon the same engine may change
+ * again. Not thread-safe.
  */
 public final class RoleChangeLimiter {
 
   /**
-   * An engine that was asked or ordered is left alone for this long, whatever became of it: an
-   * order that got no answer may be carried out twelve seconds later.
+   * The minimum interval between two changes of one engine. It covers the delay after which an
+   * order without a response may still be carried out.
    */
   private static final long MINIMUM_INTERVAL_MILLIS = 14_000;
 
-  /** How many engines of a small pool change at one time; each is out for seconds. */
+  /**
+   * The number of engines of a small pool that may change at a time; each is unavailable for
+   * seconds.
+   */
   private static final int CONCURRENT_CHANGES_OF_SMALL_POOL = 2;
 
-  /** One in so many engines of a large pool may be out: a wave of load is over in seconds. */
+  /**
+   * In a large pool one in this many engines may change at a time, so that the change ends before a
+   * burst of load does.
+   */
   private static final int ENGINES_PER_CONCURRENT_CHANGE = 8;
 
   private final Map<UpstreamName, Long> blockedUntil = new HashMap<>();
   private final Map<UpstreamName, RoleChange> inProgress = new HashMap<>();
 
-  /** The changes that may be begun now, of those that are wanted. */
+  /** Returns those of the recommended changes whose engine may be changed now. */
   public List<RoleChange> allowed(List<RoleChange> recommended, long nowMillis) {
     blockedUntil.values().removeIf(until -> nowMillis >= until);
     return recommended.stream()
@@ -37,21 +43,21 @@
   }
 
   /**
-   * Whether one more engine may be out.
+   * Returns whether one more change may be started.
    *
-   * @param engines how many engines there are
+   * @param engines the number of engines of the pool
    */
   public boolean mayStartAnother(int engines) {
     return inProgress.size()
         < Math.max(CONCURRENT_CHANGES_OF_SMALL_POOL, engines / ENGINES_PER_CONCURRENT_CHANGE);
   }
 
-  /** Whether changes that were begun are not known to have ended. */
+  /** Returns whether any started change is not known to have ended. */
   public boolean isChanging() {
     return !inProgress.isEmpty();
   }
 
-  /** Records that an engine is asked what it does, before it is given an order. */
+  /** Records that the state of an engine is queried, which precedes an order to it. */
   public void queried(UpstreamName upstream, long nowMillis) {
     blockedUntil.put(upstream, nowMillis + MINIMUM_INTERVAL_MILLIS);
   }
@@ -61,14 +67,14 @@
     inProgress.put(change.upstream(), change);
   }
 
-  /** Records that an order was refused; tells whether it was under way. */
+  /** Records that an order was refused; returns whether it was in progress. */
   public boolean refused(RoleChange change) {
     return inProgress.remove(change.upstream()) != null;
   }
 
   /**
-   * The changes that have ended since the last call: those that are seen, and those whose engine
-   * was left alone for long enough.
+   * Removes and returns the changes that have ended since the last call: those that are observed,
+   * and those whose minimum interval has passed.
    */
   public List<RoleChange> takeEnded(Predicate<RoleChange> isObserved, long nowMillis) {
     List<RoleChange> ended = new ArrayList<>();
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardCoordinator.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardCoordinator.java
@@ -12,19 +12,19 @@
 import org.marjoramsail.core.placement.PlacementMessage.Holding;
 
 /**
- * The owner's side of placement for one shard: what each entry daemon has here.
+ * Coordinates the placement of one shard on the daemon that owns it.
  *
- * <p>It turns messages into calls of a {@link Placer} and its decisions into messages, and forgets
- * what an entry no longer speaks of. Not safe for several threads; the shell calls it under the
- * lock of the shard.
+ * <p>It turns messages of entry daemons into calls of a {@link Placer} and the decisions of the
+ * placer into messages. It releases attempts that their entry daemon no longer reports. Not
+ * thread-safe; the I/O layer calls it under the lock of the shard.
  */
 public final class ShardCoordinator {
 
   /**
-   * A message that the shell has to send.
+   * A message for the I/O layer to send.
    *
    * @param to the entry daemon, which may be the owner itself
-   * @param message what to send
+   * @param message the message
    */
   public record Outgoing(DaemonId to, PlacementMessage message) {}
 
@@ -52,11 +52,11 @@
   private long lastSweepMillis;
 
   /**
-   * Creates the ledger of a shard that this daemon owns from now on.
+   * Creates the coordinator of a shard that this daemon owns from now on.
    *
    * @param shard the shard
-   * @param placer decides; called by this ledger alone
-   * @param timings how long to keep what no entry speaks of
+   * @param placer makes the decisions; called by this coordinator alone
+   * @param timings the expiry of attempts that no entry daemon reports
    */
   public ShardCoordinator(ShardId shard, Placer placer, PlacementTimings timings) {
     this.shard = shard;
@@ -96,22 +96,22 @@
     return List.of();
   }
 
-  /** Drops what a dead daemon had here. */
+  /** Releases the attempts of a daemon that has failed. */
   public List<Outgoing> daemonFailed(DaemonId daemon, long nowMillis) {
     registrations.values().removeIf(registration -> registration.entry.equals(daemon));
     return outgoing(placer.daemonFailed(daemon, nowMillis));
   }
 
   /**
-   * Records that a daemon lives that was said to be dead.
+   * Records that a daemon that was declared failed is running.
    *
-   * <p>What it sent meanwhile was not queued, yet it is registered, so that its entry would be told
-   * that it waits and would never send it again. It is forgotten; the entry registers it anew when
-   * it next repeats what it holds.
+   * <p>Attempts that the daemon registered in the meantime were not queued by the placer. Their
+   * registrations are removed, so that the daemon registers them again when it next sends its
+   * holdings; otherwise it would be told that they wait and would never be granted.
    *
-   * <p>What the placer does hold stays registered. Guards against slots that are lost for good: a
-   * daemon that has just started sends requests before it is known to live, their ends came for
-   * registrations that were forgotten, and a pool of idle servers looked full to its owner.
+   * <p>Attempts that the placer does hold stay registered. Guards against slots that are held for
+   * good: a daemon that has just started may place requests before its recovery is detected, and
+   * without their registrations the ends of these requests would be ignored.
    */
   public void daemonRecovered(DaemonId daemon) {
     registrations
@@ -120,19 +120,22 @@
     placer.daemonRecovered(daemon);
   }
 
-  /** Passes a fact about upstreams or configuration to the placer. */
+  /** Applies an event about upstreams or configuration to the placer. */
   public List<Outgoing> apply(PlacerEvent event, long nowMillis) {
     return outgoing(event.applyTo(placer, nowMillis));
   }
 
-  /** What the owners of other shards should hear of the organisations here, if it is anything. */
+  /**
+   * Returns the usage of organisations to send to the owners of other shards; empty if there is
+   * none.
+   */
   public Optional<OrganisationUsageMessage> usage(long nowMillis) {
     return placer instanceof UsageSharing sharing
         ? Optional.of(sharing.usage(nowMillis)).filter(message -> !message.usages().isEmpty())
         : Optional.empty();
   }
 
-  /** Does what time has made due. */
+  /** Runs the time-dependent work of the placer and releases expired attempts. */
   public List<Outgoing> tick(long nowMillis) {
     List<Outgoing> result = new ArrayList<>(outgoing(placer.tick(nowMillis)));
     if (nowMillis - lastSweepMillis >= timings.holdingsMillis()) {
@@ -142,43 +145,43 @@
     return result;
   }
 
-  /** What has come to be believed of upstreams by their own words since this was last asked. */
+  /** Returns the upstream feedback accepted since the last call. */
   public List<AcceptedFeedback> takeAcceptedFeedback() {
     return placer.takeAcceptedFeedback();
   }
 
-  /** Whether no entry has anything here. */
+  /** Returns whether no attempt is registered. */
   public boolean isEmpty() {
     return registrations.isEmpty();
   }
 
-  /** An engine that should change its role, if there is one. */
+  /** Returns a recommended change of an engine's role, if there is one. */
   public Optional<RoleChange> recommendedRoleChange(long nowMillis) {
     return placer.recommendedRoleChange(nowMillis);
   }
 
-  /** Whether something waits here for a place. */
+  /** Returns whether an attempt waits for a grant. */
   public boolean isWaiting() {
     return !registrations.isEmpty() && placer.isWaiting();
   }
 
-  /** What runs and what waits here. */
+  /** Returns the running and waiting attempts. */
   public ShardView view(long nowMillis) {
     return placer.view(nowMillis);
   }
 
   private List<Outgoing> place(DaemonId from, PlacementRequest request, long nowMillis) {
-    Registration known = registrations.get(request.request());
-    if (known != null && known.attempt > request.attempt()) {
+    Registration existing = registrations.get(request.request());
+    if (existing != null && existing.attempt > request.attempt()) {
       return List.of();
     }
-    if (known != null && known.attempt == request.attempt()) {
-      known.lastMessageMillis = nowMillis;
-      return List.of(new Outgoing(from, currentState(request, known)));
+    if (existing != null && existing.attempt == request.attempt()) {
+      existing.lastMessageMillis = nowMillis;
+      return List.of(new Outgoing(from, currentState(request, existing)));
     }
     List<Outgoing> result = new ArrayList<>();
-    if (known != null) {
-      result.addAll(withdraw(request.request(), known.attempt, nowMillis));
+    if (existing != null) {
+      result.addAll(withdraw(request.request(), existing.attempt, nowMillis));
     }
     registrations.put(request.request(), new Registration(from, request.attempt(), nowMillis));
     result.addAll(outgoing(placer.place(request, nowMillis)));
@@ -199,14 +202,16 @@
   private List<Outgoing> restore(DaemonId from, PlacementMessage.Restore restore, long nowMillis) {
     PlacementRequest request = restore.request();
     List<Outgoing> result = new ArrayList<>();
-    Registration known = registrations.get(request.request());
-    boolean current =
-        known != null && known.attempt == request.attempt() && restore.grant().equals(known.grant);
-    if (current) {
-      known.lastMessageMillis = nowMillis;
+    Registration existing = registrations.get(request.request());
+    boolean isCurrent =
+        existing != null
+            && existing.attempt == request.attempt()
+            && restore.grant().equals(existing.grant);
+    if (isCurrent) {
+      existing.lastMessageMillis = nowMillis;
     } else {
-      if (known != null) {
-        result.addAll(withdraw(request.request(), known.attempt, nowMillis));
+      if (existing != null) {
+        result.addAll(withdraw(request.request(), existing.attempt, nowMillis));
       }
       Registration registration = new Registration(from, request.attempt(), nowMillis);
       registration.grant = restore.grant();
@@ -218,15 +223,15 @@
   }
 
   private List<Outgoing> report(AttemptReport report, long nowMillis) {
-    Registration known = registrations.get(report.request());
-    if (known == null || known.attempt != report.attempt()) {
+    Registration existing = registrations.get(report.request());
+    if (existing == null || existing.attempt != report.attempt()) {
       return List.of();
     }
-    known.lastMessageMillis = nowMillis;
-    if (known.grant == null) {
-      // The entry had its grant from another owner while the attempt still waited here. A placer
-      // knows no end of what waits; left to it, the attempt would be granted to nobody and hold its
-      // slot for ever.
+    existing.lastMessageMillis = nowMillis;
+    if (existing.grant == null) {
+      // The entry daemon received its grant from another owner while the attempt still waited here.
+      // The placer ignores the end of a waiting attempt; without this withdrawal it would later
+      // grant the attempt and hold its slot for good.
       return report.phase() == AttemptPhase.ENDED
           ? withdraw(report.request(), report.attempt(), nowMillis)
           : List.of();
@@ -238,8 +243,8 @@
   }
 
   private List<Outgoing> withdraw(RequestId request, int attempt, long nowMillis) {
-    Registration known = registrations.get(request);
-    if (known == null || known.attempt != attempt) {
+    Registration existing = registrations.get(request);
+    if (existing == null || existing.attempt != attempt) {
       return List.of();
     }
     registrations.remove(request);
@@ -250,16 +255,15 @@
     List<Holding> unknown = new ArrayList<>();
     List<Outgoing> result = new ArrayList<>();
     for (Holding holding : held) {
-      Registration known = registrations.get(holding.request());
-      if (known == null || !known.matches(holding)) {
+      Registration existing = registrations.get(holding.request());
+      if (existing == null || !existing.matches(holding)) {
         unknown.add(holding);
         continue;
       }
-      known.lastMessageMillis = nowMillis;
-      if (known.grant != null && !holding.granted()) {
-        // The grant was lost on its way: the slot is held and nobody uses it until it is told
-        // again.
-        result.add(new Outgoing(from, new PlacementMessage.Granted(shard, known.grant)));
+      existing.lastMessageMillis = nowMillis;
+      if (existing.grant != null && !holding.granted()) {
+        // The grant message was lost: the slot is held but unused until the grant is sent again.
+        result.add(new Outgoing(from, new PlacementMessage.Granted(shard, existing.grant)));
       }
     }
     result.add(new Outgoing(from, new PlacementMessage.Unknown(shard, unknown)));
@@ -267,10 +271,11 @@
   }
 
   /**
-   * Releases attempts of which their entry says nothing.
+   * Releases attempts that their entry daemon no longer reports.
    *
-   * <p>Guards against a lost end or withdrawal, which would hold a slot for ever: the pool would
-   * seem full with idle engines. Entries repeat what they hold several times within the bound.
+   * <p>Guards against a lost end or withdrawal, which would hold a slot for good, so that the pool
+   * would seem full while its engines are idle. Entry daemons send their holdings several times
+   * within the expiry.
    */
   private List<Outgoing> releaseExpired(long nowMillis) {
     Map<RequestId, Integer> expired = new HashMap<>();
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardDirectory.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardDirectory.java
@@ -4,18 +4,18 @@
 import org.marjoramsail.core.configuration.UpstreamDefinition;
 import org.marjoramsail.core.model.DaemonId;
 
-/** Says who owns a shard at this moment. */
+/** Directory of the current owners and the upstreams of shards. */
 @FunctionalInterface
 public interface ShardDirectory {
 
   /**
-   * The daemons that may own a shard, the first choice first.
+   * Returns the daemons that may own a shard, in order of rank.
    *
-   * @return at least one; the last is the asking daemon itself when all others fail
+   * @return at least one; the calling daemon itself is the last where all others fail
    */
   List<DaemonId> owners(ShardId shard);
 
-  /** The upstreams of a shard; none where they are not known. */
+  /** Returns the upstreams of a shard; empty where they are not known. */
   default List<UpstreamDefinition> upstreamsOf(ShardId shard) {
     return List.of();
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardId.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardId.java
@@ -3,11 +3,12 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * A slice of the upstreams of one service in one region, with one queue and one owner.
+ * Identifier of a shard: a slice of the upstreams of one service in one region, with one queue and
+ * one owner.
  *
  * @param service the service
  * @param region the region of its upstreams
- * @param slice from zero; how many slices there are follows from the configuration
+ * @param slice the index of the slice, from zero; the configuration determines the number of slices
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record ShardId(String service, String region, int slice) implements Comparable<ShardId> {
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardMap.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardMap.java
@@ -16,38 +16,48 @@
 import org.marjoramsail.core.model.UpstreamRole;
 
 /**
- * Slices the upstreams of each service and region into shards, and names the owner of each.
+ * Slices the upstreams of each service and region into shards, and ranks the daemons that may own
+ * each.
  *
- * <p>Everything follows from the configuration and the hash of names, so that daemons with the same
- * configuration agree without a message. The number of slices is a power of two that follows from
- * how many upstreams are configured, live or not: it changes only where an operator doubles or
- * halves a pool, never because upstreams come and go.
+ * <p>The result depends only on the configuration and on hashes of names, so that daemons with the
+ * same configuration agree without a message. The number of slices is a power of two that depends
+ * on the number of configured upstreams, live or not. It changes only where an operator doubles or
+ * halves a pool, not when upstreams start or fail.
  */
 public final class ShardMap {
 
-  /** The most upstreams of a slice; with slices in powers of two it has at least half as many. */
+  /**
+   * The maximum number of upstreams in a slice; slice counts are powers of two, so a slice has at
+   * least half as many.
+   */
   public static final int MAXIMUM_UPSTREAMS = 24;
 
   /**
-   * Pools of up to so many slices' upstreams are not sliced. All requests of such a pool share its
-   * memory, and its one owner, which also holds the lease for orders, has roles changed wherever
-   * that helps; of two slices only one had any changed. An owner of more would exceed what control
-   * may cost a host.
+   * A pool of up to this many times the upstreams of a slice is not sliced. All requests of such a
+   * pool share its memory, and its single owner can change the role of any of its engines. In
+   * larger pools the cost of placement for one owner would be too high.
    */
   private static final int UNSLICED_POOL_FACTOR = 2;
 
-  /** A shard must have this much more load than the other choice before a prefix leaves it. */
+  /**
+   * The first choice for a prefix is left when its load exceeds that of the second by more than
+   * this.
+   */
   private static final double LOAD_DIFFERENCE_FOR_SECOND_CHOICE = 0.25;
 
   private final int maximumUpstreams;
   private final Map<ShardId, List<UpstreamDefinition>> shards = new TreeMap<>();
 
-  /** Slices all services of {@code configuration} into shards of the usual size. */
+  /**
+   * Slices all services of {@code configuration} into shards of up to {@link #MAXIMUM_UPSTREAMS}.
+   */
   public ShardMap(Configuration configuration) {
     this(configuration, MAXIMUM_UPSTREAMS);
   }
 
-  /** Slices all services of {@code configuration} into shards of at most that many upstreams. */
+  /**
+   * Slices all services of {@code configuration} into shards of at most {@code maximumUpstreams}.
+   */
   public ShardMap(Configuration configuration, int maximumUpstreams) {
     this.maximumUpstreams = maximumUpstreams;
     Map<String, Map<String, List<UpstreamDefinition>>> pools = new TreeMap<>();
@@ -60,40 +70,45 @@
     pools.forEach((service, regions) -> regions.forEach((region, pool) -> slice(service, pool)));
   }
 
-  /** All shards, in order. */
+  /** Returns all shards, in order. */
   public List<ShardId> shards() {
     return List.copyOf(shards.keySet());
   }
 
-  /** The shards of one service in one region, by slice; empty when it has no upstreams there. */
+  /**
+   * Returns the shards of one service in one region, by slice; empty when it has no upstreams
+   * there.
+   */
   public List<ShardId> shardsOf(String service, String region) {
     return shards.keySet().stream()
         .filter(shard -> shard.service().equals(service) && shard.region().equals(region))
         .toList();
   }
 
-  /** The upstreams of a shard, by name; empty for a shard that the configuration does not have. */
+  /**
+   * Returns the upstreams of a shard, by name; empty for a shard that the configuration does not
+   * have.
+   */
   public List<UpstreamDefinition> upstreamsOf(ShardId shard) {
     return List.copyOf(shards.getOrDefault(shard, List.of()));
   }
 
   /**
-   * The daemon that owns a shard: the one with the highest hash among the eligible daemons of the
-   * shard's region.
+   * Returns the first daemon in the {@linkplain #ranking ranking} of a shard, which owns it.
    *
-   * @return empty when no daemon of that region is eligible
+   * @return empty when no daemon of the shard's region is eligible
    */
   public static Optional<Member> ownerOf(ShardId shard, MembershipView view) {
     return ranking(shard, view).findFirst();
   }
 
   /**
-   * The daemons that may own a shard, the owner first: whoever is next takes over when those before
-   * it are gone or silent.
+   * Returns the daemons that may own a shard, the owner first; each takes over when those ranked
+   * before it have failed or do not respond.
    *
-   * <p>Those whose hosts have half of the greatest processor or more come first. An owner handles
-   * some messages for each request of its pool; a host with a third of a core was busy with those
-   * of two hundred requests a second, and plain requests waited a second for their places.
+   * <p>Daemons on hosts with at least half of the largest processor come first, because an owner
+   * handles several messages for each request of its pool and would delay requests on a small host.
+   * Among these, the order follows the hash of the shard and the host.
    */
   public static Stream<Member> ranking(ShardId shard, MembershipView view) {
     List<Member> eligible = view.eligibleInRegion(shard.region());
@@ -108,12 +123,12 @@
   }
 
   /**
-   * The shard that should serve a request: of two shards that follow from the first block of its
-   * prompt, the first unless it has clearly more load. Requests without a prompt are spread by
-   * their identifier.
+   * Returns the shard to serve a request. The first block of the prompt selects two shards; the
+   * first is used unless its load is clearly higher. Requests without a prompt are spread by their
+   * identifier.
    *
    * @param region where the request is to be served
-   * @param load last known load of a shard, as waiting and running over slots
+   * @param load the last known load of a shard: waiting and running requests, divided by slots
    * @return empty when the service has no upstreams in that region
    */
   public Optional<ShardId> shardFor(
@@ -137,7 +152,7 @@
         first > second + LOAD_DIFFERENCE_FOR_SECOND_CHOICE ? ranked.get(1) : ranked.get(0));
   }
 
-  /** How many slices a pool of that many configured upstreams has. */
+  /** Returns the number of slices of a pool with that many configured upstreams. */
   private int sliceCount(int upstreams) {
     if (upstreams <= UNSLICED_POOL_FACTOR * maximumUpstreams) {
       return 1;
@@ -170,7 +185,10 @@
     }
   }
 
-  /** Rendezvous hashing with a bound on each slice, so that each role is spread evenly. */
+  /**
+   * Assigns upstreams by rendezvous hashing with a bound on each slice, so that each role is spread
+   * evenly.
+   */
   private void assign(List<UpstreamDefinition> members, String service, String region, int slices) {
     int bound = (members.size() + slices - 1) / slices;
     int[] assigned = new int[slices];
--- a/core/src/main/java/org/marjoramsail/core/placement/TwoChoicesPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/TwoChoicesPlacer.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Picks the less loaded of two upstreams drawn by chance, by their last reports. */
+/** Picks the upstream with the lower reported load of two drawn at random. */
 final class TwoChoicesPlacer extends DirectPlacer {
 
   private final RandomGenerator random;
--- a/core/src/main/java/org/marjoramsail/core/placement/UnresponsiveOwners.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UnresponsiveOwners.java
@@ -5,11 +5,11 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * Notices owners that do not answer, sooner than the failure detector does.
+ * Detects owners that do not respond, sooner than the failure detector does.
  *
- * <p>An owner is silent when it has left a message that asks for an answer without any word for
- * longer than the bound. It is then passed over for a fixed time, so that requests do not move to
- * and fro.
+ * <p>An owner is unresponsive when a message that requires a response has had none within the
+ * time-out. It is then skipped for a fixed time, so that requests do not move back and forth
+ * between owners.
  */
 final class UnresponsiveOwners {
 
@@ -29,7 +29,9 @@
     unansweredSince.remove(owner);
   }
 
-  /** Records that the connection to an owner is gone, which tells more than waiting does. */
+  /**
+   * Records that the connection to an owner has failed; the owner is skipped without a time-out.
+   */
   void disconnected(DaemonId owner, long nowMillis) {
     unansweredSince.remove(owner);
     skippedUntil.put(owner, nowMillis + timings.skipMillis());
--- a/core/src/main/java/org/marjoramsail/core/placement/package-info.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Which upstreams serve a request, and when: queues, slots, estimates and their owners. */
+/** Placement of requests on upstreams: queues, slots, estimates and the owners of shards. */
 package org.marjoramsail.core.placement;
--- a/core/src/test/java/org/marjoramsail/core/placement/PlacementFixtures.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PlacementFixtures.java
@@ -55,7 +55,7 @@
         organisations);
   }
 
-  /** The same, with decode upstreams whose memory is bounded. */
+  /** Returns the same pool with decode upstreams whose memory is bounded. */
   static Configuration poolWithMemory(int prefills, int decodes, int slots, int memoryTokens) {
     Configuration pool = pool(prefills, decodes, slots);
     List<UpstreamDefinition> upstreams =
@@ -69,7 +69,7 @@
         pool.organisations());
   }
 
-  /** The same pool once all its upstreams have started at a time. */
+  /** Returns the same pool after all its upstreams have started at a time. */
   static Configuration startedAt(Configuration pool, long startedAtMillis) {
     List<UpstreamDefinition> upstreams =
         pool.upstreams().stream().map(one -> one.startedAt(startedAtMillis)).toList();
@@ -106,7 +106,7 @@
     return new OrganisationDefinition(name, List.of(), List.of(), 1, concurrency, perSecond, 0);
   }
 
-  /** An organisation whose limit counts tokens. */
+  /** Returns an organisation with a limit in tokens. */
   static OrganisationDefinition limitedInTokens(String name, double perSecond, double burst) {
     return new OrganisationDefinition(
         name,
@@ -134,7 +134,7 @@
     return new ReservingPlacer(setup(MODEL_SHARD, configuration, false), 0);
   }
 
-  /** A placer of engines whose KV caches live for half a second. */
+  /** Returns a placer of engines whose KV caches expire after half a second. */
   static ReservingPlacer shortLivedPlacer(Configuration configuration) {
     PlacementSettings settings = PlacementSettings.forShortLivedCaches();
     return new ReservingPlacer(
@@ -147,7 +147,7 @@
     return new ReservingPlacer(setup(PLAIN_SHARD, configuration, false), 0);
   }
 
-  /** A plain request that wants its target and is still wanted after it. */
+  /** Returns a plain request that has a target and is still useful after it. */
   static PlacementRequest timelyPlain(
       RequestId id, long targetWithinMillis, long deadlineWithinMillis, long content) {
     return new PlacementRequest(
@@ -218,7 +218,7 @@
     return granted.grant();
   }
 
-  /** A request with defaults that a test changes where it cares. */
+  /** Builder of a request whose defaults a test may override. */
   static final class RequestBuilder {
 
     private final String name;
--- a/core/src/test/java/org/marjoramsail/core/placement/PlacementSimulation.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PlacementSimulation.java
@@ -18,8 +18,9 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * Hosts that place requests with one owner among them, before plain upstreams that say things of
- * themselves in their answers; on a virtual clock, with hosts that die or see only some others.
+ * Simulation of hosts that place requests through one owner among them, on plain upstreams that
+ * send feedback with their responses. It runs on a virtual clock; hosts may fail or be separated by
+ * a network partition.
  */
 final class PlacementSimulation {
 
@@ -30,21 +31,26 @@
   static final long TARGET_MILLIS = 300;
   private static final long DEADLINE_MILLIS = 1_500;
 
-  /** How long hosts take to see that others are beyond a cut. */
+  /** The time after which hosts detect a network partition. */
   private static final long DETECTION_MILLIS = 1_000;
 
-  /** Where a limit over all hosts is enforced. */
+  /** Enforcement of a rate limit over all hosts. */
   enum LimitEnforcement {
-    /** The owner of the pool, which grants all places, is told and counts. */
+    /**
+     * The owner of the pool, which grants all requests, receives the limit and counts against it.
+     */
     BY_OWNER,
-    /** Each host that was told keeps to its part of the limit, and the owner is not told. */
+    /**
+     * Each host that receives the limit enforces its own share of it, and the owner does not
+     * receive the limit.
+     */
     BY_HOST_SHARES
   }
 
   /** A request that reached an upstream. */
   record Arrival(UpstreamName upstream, DaemonId host, long atMillis) {}
 
-  /** What became of a request. */
+  /** The result of a request. */
   record End(
       boolean served, long requestedAtMillis, long endedAtMillis, Optional<Long> retryAfter) {}
 
@@ -91,9 +97,9 @@
   /**
    * Creates hosts and upstreams.
    *
-   * @param hostCount how many hosts; the first owns the pool while it lives and is seen
-   * @param workMillis how long an upstream works on a request
-   * @param way where limits are enforced
+   * @param hostCount the number of hosts; the first owns the pool while it runs and is reachable
+   * @param workMillis the time that an upstream works on a request
+   * @param enforcement where limits are enforced
    */
   PlacementSimulation(
       int hostCount,
@@ -117,12 +123,12 @@
     return events;
   }
 
-  /** What each upstream says in its answers at this moment. */
+  /** Sets the feedback that each upstream sends with its responses from now on. */
   void setFeedback(Function<UpstreamName, UpstreamFeedback> newer) {
     feedback = newer;
   }
 
-  /** Has requests come at random hosts, so many a second on average, over a time. */
+  /** Schedules requests at random hosts for a time, with an average rate per second. */
   void load(double perSecond, long fromMillis, long toMillis) {
     double next = fromMillis;
     while (next < toMillis) {
@@ -131,7 +137,7 @@
     }
   }
 
-  /** Has a host die; it starts again as a new run that knows nothing. */
+  /** Fails a host, which restarts at once as a new run without state. */
   void kill(int number) {
     DaemonId previous = ranking.get(number);
     hosts.get(previous).failed = true;
@@ -148,7 +154,7 @@
     }
   }
 
-  /** Puts a host on a side; only hosts of one side reach each other. */
+  /** Moves a host to a network partition; only hosts of the same partition reach each other. */
   void moveToPartition(int number, int partition) {
     hosts.get(ranking.get(number)).partition = partition;
     events.at(events.now() + DETECTION_MILLIS, this::detectPartitions);
@@ -161,7 +167,10 @@
     }
   }
 
-  /** Hosts that see less than half of the others spend their part of what is limited. */
+  /**
+   * Hosts that reach less than half of all hosts use only their proportional share of what is
+   * limited.
+   */
   private double fleetShareOf(Host host) {
     int reachable = reachableFrom(host.id).size();
     return 2 * reachable >= ranking.size() ? 1 : reachable / (double) ranking.size();
@@ -192,17 +201,17 @@
     return ends;
   }
 
-  /** When an upstream asked a host for a pause. */
+  /** Returns the times at which an upstream requested a pause from a host. */
   List<Arrival> pauses() {
     return pauses;
   }
 
-  /** When a host first passed on an answer in which an upstream said something of itself. */
+  /** Returns the time at which a host first received feedback from an upstream. */
   Optional<Long> firstFeedbackAt(UpstreamName upstream, DaemonId host) {
     return Optional.ofNullable(firstFeedbackAt.getOrDefault(upstream, Map.of()).get(host));
   }
 
-  /** All upstreams. */
+  /** Returns all upstreams. */
   List<UpstreamName> upstreams() {
     return configuration.upstreams().stream().map(UpstreamDefinition::name).toList();
   }
--- a/core/src/test/java/org/marjoramsail/core/placement/RoleAdvisorTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/RoleAdvisorTest.java
@@ -14,8 +14,8 @@
   private final ReservingPlacer placer = shortLivedPlacer(poolWithMemory(3, 3, 48, 42_000));
 
   /**
-   * The first burst came six seconds after the start, and a reader that stood idle was turned just
-   * then: the owner had waited for a dozen answers of four seconds each before it looked.
+   * Guards against a change that starts only during the first burst, when the engine is required in
+   * either role.
    */
   @Test
   void aPrefillUpstreamIsReassignedAsSoonAsRequestSizesAreKnown() {
@@ -31,7 +31,10 @@
         .contains(UpstreamRole.DECODE);
   }
 
-  /** A reader that was given two prompts at once looked half as fast as it is. */
+  /**
+   * Guards against counting the wait behind another prompt as prefill time, which would halve the
+   * estimated prefill rate of an upstream.
+   */
   @Test
   void theWaitForAnotherPrefillIsNotCountedAsPrefillTime() {
     UpstreamState upstream =
--- a/core/src/test/java/org/marjoramsail/core/placement/RoleBalanceTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/RoleBalanceTest.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Ten engines, four of which read prompts: at the peak requests waited for memory of the other six
- * while reading was idle for most of the time.
+ * Guards against prefill engines that are idle while requests wait for the memory of decode
+ * engines.
  */
 class RoleBalanceTest {
 
@@ -29,7 +29,10 @@
     assertThat(bestPrefillCount(10, 1, PREFILL_RATE, 2 * DECODE_RATE)).isEqualTo(3);
   }
 
-  /** After a burst the times of reading look longer than they are; an engine went to and fro. */
+  /**
+   * Guards against engines that change back and forth because estimated prefill times rise after a
+   * burst.
+   */
   @Test
   void aDecodeEngineIsNotMovedForASmallGain() {
     assertThat(bestPrefillCount(10, 2, PREFILL_RATE * 0.7, DECODE_RATE)).isEqualTo(2);
@@ -46,11 +49,7 @@
     assertThat(bestPrefillCount(2, 1, PREFILL_RATE, DECODE_RATE)).isEqualTo(1);
   }
 
-  /**
-   * One reader of six kept up with twelve prompts a second before five engines with memory for
-   * sixteen answers. Engines that read what it cannot serve fourteen; a second reader only
-   * thirteen.
-   */
+  /** Local prefill on decode engines serves more here than a second prefill engine does. */
   @Test
   void promptsBeyondThePrefillCapacityAreLocallyPrefilled() {
     RoleBalance.Rates rates = new RoleBalance.Rates(10.7, 10.7 / 2, 3.28);
--- a/core/src/test/java/org/marjoramsail/core/placement/RoleChangeLimiterTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/RoleChangeLimiterTest.java
@@ -16,7 +16,7 @@
 
   private final RoleChangeLimiter limiter = new RoleChangeLimiter();
 
-  /** An order got no answer and was carried out twelve seconds later, after the next one. */
+  /** Guards against a second change while an order without a response may still be carried out. */
   @Test
   void anEngineIsNotChangedAgainWhileAnEarlierOrderMayStillTakeEffect() {
     limiter.queried(FIRST.upstream(), 0);
@@ -35,8 +35,8 @@
   }
 
   /**
-   * A deployment of 34 engines began with twelve that read, where five were enough, and callers
-   * waited for memory of the others. Two at a time, the change took longer than the rush.
+   * Guards against a change of roles in a large pool that takes longer than the burst that requires
+   * it.
    */
   @Test
   void aLargePoolChangesUpToOneEngineInEightAtATime() {
--- a/core/src/test/java/org/marjoramsail/core/placement/ShardCoordinatorTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/ShardCoordinatorTest.java
@@ -19,9 +19,8 @@
   private final ShardCoordinator coordinator =
       new ShardCoordinator(SHARD, placer, PlacementTimings.standard());
 
-  // A user sees a pool that refuses work though its engines are idle. In order: an attempt waits
-  // here, its entry turns to another owner, is granted there, turns back, and the end arrives here
-  // before any restore. Cause: the placer knew the attempt as waiting and granted it to nobody.
+  // Guards against a slot that is held for good: an attempt waits here, is granted by another
+  // owner, and its end arrives here before any restore. The placer must not grant it afterwards.
   @Test
   void theEndOfAWaitingAttemptRemovesIt() {
     place("first");
@@ -34,8 +33,8 @@
     assertThat(placer.waiting()).isZero();
   }
 
-  // A user waits for an answer though an engine is reserved for the request. In order: the owner
-  // grants, the message is lost, the entry repeats what it holds. Cause: nobody told it again.
+  // Guards against a reserved slot that is never used: the grant message is lost, and the entry
+  // daemon repeats its holdings.
   @Test
   void aLostGrantIsSentAgainWhenTheEntryDaemonRepeatsItsHoldings() {
     place("first");
@@ -52,8 +51,7 @@
         .anyMatch(PlacementMessage.Granted.class::isInstance);
   }
 
-  // A pool loses a slot for good. In order: a grant is held, the message of its end is lost, the
-  // entry no longer speaks of it. Cause: the owner waited for a message that never comes.
+  // Guards against a slot that is held for good after the message of an attempt's end was lost.
   @Test
   void anAttemptThatItsEntryDaemonNoLongerReportsIsReleasedAfterItsExpiry() {
     place("first");
@@ -65,9 +63,9 @@
     assertThat(placer.held()).isZero();
   }
 
-  // A user waits until the deadline though servers are free. In order: the user's daemon stands
-  // still, is declared dead, goes on, sends the request and is taken back. Cause: the owner dropped
-  // the request as a late one of a dead daemon and yet told the daemon that it waits.
+  // Guards against a request that waits until its deadline although upstreams are free: its daemon
+  // is wrongly declared failed, sends the request and recovers. The placer ignored the request, so
+  // its registration must not remain.
   @Test
   void requestsFromADaemonWronglyDeclaredDeadAreRequestedAgainAfterItsRecovery() {
     ShardCoordinator reserving = coordinatorWithReservingPlacer();
@@ -119,12 +117,9 @@
     assertThat(placer.waiting()).isEqualTo(1);
   }
 
-  // All lookups are refused for as long as anyone looks, though both servers are idle. In order:
-  // all
-  // daemons lose their power and start again, lookups reach the new owner before it knows that
-  // their
-  // daemons live, it takes them as back, and the lookups end. Cause: the owner had forgotten the
-  // registrations, dropped the ends, and held the slots for ever.
+  // Guards against slots that are held for good: restarted daemons place requests before their
+  // recovery is detected. Their registrations must remain, or the ends of these requests are
+  // ignored.
   @Test
   void attemptsOfARecoveredDaemonAreReleasedWhenTheyEnd() {
     ShardCoordinator reserving = coordinatorWithReservingPlacer();
@@ -143,7 +138,7 @@
         .anyMatch(PlacementMessage.Granted.class::isInstance);
   }
 
-  /** A ledger before the placer that daemons use, with one plain server of one slot. */
+  /** Returns a coordinator of a reserving placer with one plain upstream of one slot. */
   private static ShardCoordinator coordinatorWithReservingPlacer() {
     return new ShardCoordinator(
         SHARD,
--- a/core/src/test/java/org/marjoramsail/core/placement/ShardMapTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/ShardMapTest.java
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Of a pool of 34 engines in two slices only those of one slice had their roles changed, and
-   * callers waited for memory in one slice while there was some in the other.
+   * Guards against slices that cannot balance roles and memory with each other in a pool that one
+   * owner can manage.
    */
   @Test
   void poolsWithinTheCapacityOfOneOwnerAreNotSliced() {
@@ -79,8 +79,8 @@
   }
 
   /**
-   * A burst of lookups waited a second for their places. The one host that decided over all of them
-   * was one of the smallest of the fleet, and busy with its messages, while large ones stood idle.
+   * Guards against an owner on a small host that delays the requests of its pool while large hosts
+   * are idle.
    */
   @Test
   void hostsWithTheLargestProcessorsRankFirst() {
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Where processors are alike, or unknown on some, all share the work. */
+  /** Processors that are nearly equal do not concentrate the shards on a few hosts. */
   @Test
   void hostsWithSimilarProcessorsShareTheShards() {
     List<Member> members = new ArrayList<>();
--- a/core/src/test/java/org/marjoramsail/core/placement/SoftOwnershipFuzzTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/SoftOwnershipFuzzTest.java
@@ -17,7 +17,10 @@
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.model.ServiceClass;
 
-/** Entries and owners over a network that loses, delays and reorders, while owners die. */
+/**
+ * Fuzzes entry daemons and owners over a network that loses, delays and reorders messages, while
+ * daemons fail.
+ */
 final class SoftOwnershipFuzzTest {
 
   private static final ShardId SHARD = new ShardId("ventanilla", "litoral", 0);
@@ -28,7 +31,7 @@
 
   private record Envelope(DaemonId from, DaemonId to, PlacementMessage message, long dueMillis) {}
 
-  /** The daemons, the network between them and what the callers have seen. */
+  /** The daemons, the network between them and the results that callers received. */
   private static final class Fleet {
     private final Random random;
     private final List<DaemonId> alive = new ArrayList<>();
@@ -217,10 +220,8 @@
     }
   }
 
-  // What a user sees: requests wait for ever, or a pool seems full though its engines are idle.
-  // In order: messages between entries and owners are lost and cross, owners die or change while
-  // requests wait and run. Cause: an owner and an entry disagree on what is held and nobody repeats
-  // what was lost.
+  // Guards against requests that wait for ever and slots that stay held: entry daemons and owners
+  // must agree again after lost or reordered messages, failures and changes of the owner.
   @Property(seed = "20261202", tries = 400)
   void everyWaitingRequestIsGrantedOnceAndNothingStaysHeld(@ForAll long seed) {
     Random steps = new Random(seed);
--- a/core/src/test/java/org/marjoramsail/core/placement/VirtualEvents.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/VirtualEvents.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Events of a small model, run in the order of their times on a clock of their own. */
+/** Event queue of a simulation, run in the order of time on a virtual clock. */
 final class VirtualEvents {
 
   private record Event(long atMillis, long order, Runnable action) {}
@@ -14,24 +14,24 @@
   private long order;
   private long nowMillis;
 
-  /** The time of the event that runs now, in milliseconds. */
+  /** Returns the time of the current event, in milliseconds. */
   long now() {
     return nowMillis;
   }
 
-  /** Has an action run at a time. */
+  /** Schedules an action at a time. */
   void at(long millis, Runnable action) {
     events.add(new Event(millis, order++, action));
   }
 
-  /** Has an action run again and again until a time. */
+  /** Schedules an action periodically until a time. */
   void every(long periodMillis, long untilMillis, Runnable action) {
     for (long millis = 0; millis < untilMillis; millis += periodMillis) {
       at(millis, action);
     }
   }
 
-  /** Runs all events, also those that are added meanwhile. */
+  /** Runs all events, including those added by other events. */
   void run() {
     while (!events.isEmpty()) {
       Event event = events.poll();
