--- a/core/src/main/java/org/marjoramsail/core/model/DaemonId.java
+++ b/core/src/main/java/org/marjoramsail/core/model/DaemonId.java
@@ -1,11 +1,11 @@
 package org.marjoramsail.core.model;
 
 /**
- * One run of one daemon.
+ * Identifier of one run of a daemon.
  *
  * @param host the name of the host that it runs on, from its settings
- * @param incarnation rises each time a daemon starts on that host name; the start time in
- *     milliseconds
+ * @param incarnation the start time in milliseconds, which rises with each start of a daemon on
+ *     that host
  */
 public record DaemonId(String host, long incarnation) implements Comparable<DaemonId> {
 
@@ -15,7 +15,7 @@
     return byHost != 0 ? byHost : Long.compare(incarnation, other.incarnation);
   }
 
-  /** Whether both are runs of the same host and this one started later. */
+  /** Returns whether both are runs on the same host and this one started later. */
   public boolean supersedes(DaemonId other) {
     return host.equals(other.host) && incarnation > other.incarnation;
   }
--- a/core/src/main/java/org/marjoramsail/core/model/Repeatability.java
+++ b/core/src/main/java/org/marjoramsail/core/model/Repeatability.java
@@ -1,12 +1,12 @@
 package org.marjoramsail.core.model;
 
-/** Whether a request may run more than once. */
+/** Classification of requests by whether they may run more than once. */
 public enum Repeatability {
-  /** Running it again changes nothing: a lookup, a generation. */
+  /** Repeated runs have no further effect, such as a lookup or a generation. */
   IDEMPOTENT(true, true),
-  /** May run again, but each run costs: a summary. */
+  /** May run again, but each run has a cost, such as a summary. */
   REPEATABLE(true, false),
-  /** Runs at most once: a ballot, a filing receipt. */
+  /** Must run at most once, such as a ballot or a filing receipt. */
   AT_MOST_ONCE(false, false);
 
   private final boolean resendable;
@@ -17,12 +17,14 @@
     this.hedgeable = hedgeable;
   }
 
-  /** Whether it may be sent again after an earlier send whose effect is not known. */
+  /**
+   * Returns whether the request may be sent again when the effect of an earlier send is not known.
+   */
   public boolean isResendable() {
     return resendable;
   }
 
-  /** Whether it may be sent to two upstreams at once. */
+  /** Returns whether the request may be sent to two upstreams concurrently. */
   public boolean isHedgeable() {
     return hedgeable;
   }
--- a/core/src/main/java/org/marjoramsail/core/model/RequestId.java
+++ b/core/src/main/java/org/marjoramsail/core/model/RequestId.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** Names one request of a caller, across its attempts and across daemons. */
+/** Identifier of one request of a caller, across its attempts and across daemons. */
 public record RequestId(@JsonValue String value) implements Comparable<RequestId> {
 
-  /** Accepts a value that is not blank. */
+  /** Rejects a blank value. */
   @JsonCreator
   public RequestId {
     if (value == null || value.isBlank()) {
--- a/core/src/main/java/org/marjoramsail/core/model/ServiceClass.java
+++ b/core/src/main/java/org/marjoramsail/core/model/ServiceClass.java
@@ -1,16 +1,17 @@
 package org.marjoramsail.core.model;
 
-/** How urgent a rule makes its requests, and what that means for their order of service. */
+/** Urgency class of requests, which determines their order of service. */
 public enum ServiceClass {
-  /** A person or a queue waits for it: status and date lookups. */
+  /** A person or a queue waits for the response, as for status and date lookups. */
   QUICK(0, false),
-  /** Ballots, filings and everything without a rule of its own. */
+  /** Ballots, filings and all requests without a rule of their own. */
   STANDARD(1, false),
-  /** May wait until its deadline: summaries. */
+  /** May wait until its deadline, as summaries do. */
   DEFERRABLE(2, true),
   /**
-   * Wants its target and is still worth an answer after it: served in time while that can be, and
-   * behind everything else until its deadline once it is late.
+   * Requires a response before its target and still has a use for one after it. It is served before
+   * its target while that is possible; after the target it is served behind all other requests
+   * until its deadline.
    */
   TIMELY(3, false);
 
@@ -22,17 +23,17 @@
     this.mayWait = mayWait;
   }
 
-  /** Zero for the most urgent. Engines get it as their priority. */
+  /** Returns the rank, zero for the most urgent; engines receive it as their priority. */
   public int rank() {
     return rank;
   }
 
-  /** Whether an answer is still wanted after the target was missed. */
+  /** Returns whether a response is still useful after the target was missed. */
   public boolean isUsefulAfterTarget() {
     return this == TIMELY;
   }
 
-  /** Whether its target is its deadline rather than the time to the first token. */
+  /** Returns whether its target is its deadline rather than the time to the first token. */
   public boolean mayWait() {
     return mayWait;
   }
--- a/core/src/main/java/org/marjoramsail/core/model/StreamChunking.java
+++ b/core/src/main/java/org/marjoramsail/core/model/StreamChunking.java
@@ -3,14 +3,14 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * In which pieces an answer comes.
+ * The chunks in which an output is streamed.
  *
- * @param tokens how many tokens one piece carries
- * @param longestPauseMillis the longest time between two pieces of an answer that is in time
+ * @param tokens the number of tokens in a chunk
+ * @param longestPauseMillis the longest time between two chunks that meets the latency targets
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record StreamChunking(int tokens, long longestPauseMillis) {
 
-  /** One token a piece, in any time. */
+  /** One token in each chunk, with no limit on the pauses. */
   public static final StreamChunking SINGLE_TOKENS = new StreamChunking(1, Long.MAX_VALUE);
 }
--- a/core/src/main/java/org/marjoramsail/core/model/UpstreamName.java
+++ b/core/src/main/java/org/marjoramsail/core/model/UpstreamName.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** Names one upstream, that is one server, for as long as it is configured. */
+/** Name of one upstream, a single server, for as long as it is configured. */
 public record UpstreamName(@JsonValue String value) implements Comparable<UpstreamName> {
 
-  /** Accepts a value that is not blank. */
+  /** Rejects a blank value. */
   @JsonCreator
   public UpstreamName {
     if (value == null || value.isBlank()) {
--- a/core/src/main/java/org/marjoramsail/core/model/UpstreamRole.java
+++ b/core/src/main/java/org/marjoramsail/core/model/UpstreamRole.java
@@ -1,15 +1,15 @@
 package org.marjoramsail.core.model;
 
-/** What an upstream does for requests. */
+/** Role of an upstream. */
 public enum UpstreamRole {
-  /** A model engine that reads prompts and exports their KV cache. */
+  /** A model engine that prefills prompts and exports their KV cache. */
   PREFILL,
-  /** A model engine that imports a KV cache and generates; it can also read a short prompt. */
+  /** A model engine that imports a KV cache and generates; it can also prefill a short prompt. */
   DECODE,
-  /** A plain service beside the engines. */
+  /** A plain service other than a model engine. */
   PLAIN;
 
-  /** Whether a request for generated tokens can end on such an upstream. */
+  /** Returns whether an upstream of this role generates the tokens of a request. */
   public boolean isGenerating() {
     return this == DECODE;
   }
