--- a/core/src/main/java/org/marjoramsail/core/failure/Refusal.java
+++ b/core/src/main/java/org/marjoramsail/core/failure/Refusal.java
@@ -3,37 +3,43 @@
 import java.util.Optional;
 
 /**
- * A truthful end without an answer.
+ * The end of a request without a response from an upstream, as it is reported to the caller.
  *
- * @param reason why
- * @param runState whether the request was run
+ * @param reason the reason
+ * @param runState what is known of whether the request ran
  * @param detail a sentence that names the field, the value and what is allowed, where one applies
- * @param retryAfterMillis when to come back, in milliseconds from now
+ * @param retryAfterMillis the time after which a retry may succeed, in milliseconds from now
  */
 public record Refusal(
     RefusalReason reason, RunState runState, String detail, Optional<Long> retryAfterMillis) {
 
-  /** A request that was proven not to have run. */
+  /** Returns the refusal of a request that is proven not to have run. */
   public static Refusal notRun(RefusalReason reason, String detail) {
     return new Refusal(reason, RunState.NOT_RUN, detail, Optional.empty());
   }
 
-  /** A request that was proven not to have run, with the time after which it may succeed. */
+  /**
+   * Returns the refusal of a request that is proven not to have run, with the time after which a
+   * retry may succeed.
+   */
   public static Refusal notRun(RefusalReason reason, String detail, long retryAfterMillis) {
     return new Refusal(reason, RunState.NOT_RUN, detail, Optional.of(retryAfterMillis));
   }
 
-  /** The same refusal with another time after which the request may succeed. */
+  /** Returns this refusal with another time after which a retry may succeed. */
   public Refusal retryingAfter(long millis) {
     return new Refusal(reason, runState, detail, Optional.of(millis));
   }
 
-  /** The same refusal of a request of which nothing is proven, since it repeats another's key. */
+  /**
+   * Returns this refusal with an unknown run state, for a request that repeats the key of another
+   * whose run state is not known.
+   */
   public Refusal withUnknownRunState() {
     return new Refusal(reason, RunState.UNKNOWN, detail, retryAfterMillis);
   }
 
-  /** A request that may have run. */
+  /** Returns the refusal of a request that may have run. */
   public static Refusal unknown(RefusalReason reason, String detail) {
     return new Refusal(reason, RunState.UNKNOWN, detail, Optional.empty());
   }
--- a/core/src/main/java/org/marjoramsail/core/failure/RefusalReason.java
+++ b/core/src/main/java/org/marjoramsail/core/failure/RefusalReason.java
@@ -3,10 +3,10 @@
 import java.util.Locale;
 
 /**
- * Why a request ended without its answer.
+ * The reason why a request ended without a response from an upstream.
  *
- * <p>Each reason has one counter and one HTTP status. A reason says nothing about whether the
- * request ran; that is a {@link RunState} beside it.
+ * <p>Each reason has one counter and one HTTP status. Whether the request ran is reported
+ * separately as a {@link RunState}.
  */
 public enum RefusalReason {
   MALFORMED_REQUEST(400, false),
@@ -47,17 +47,19 @@
     this.worthRetrying = worthRetrying;
   }
 
-  /** The HTTP status of an answer with this reason. */
+  /** Returns the HTTP status of a response with this reason. */
   public int httpStatus() {
     return httpStatus;
   }
 
-  /** Whether the same request may succeed later, so that the answer says when to come back. */
+  /**
+   * Returns whether the same request may succeed later, so that the response states when to retry.
+   */
   public boolean isWorthRetrying() {
     return worthRetrying;
   }
 
-  /** The reason in lower case with hyphens, as callers, operators and counters see it. */
+  /** Returns the reason in lower case with hyphens, as callers, operators and counters see it. */
   public String code() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/core/src/main/java/org/marjoramsail/core/failure/RetryReason.java
+++ b/core/src/main/java/org/marjoramsail/core/failure/RetryReason.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Why a request is tried again; each has its counter. */
+/** The reason why a request is retried; each has its own counter. */
 public enum RetryReason {
   CONNECT_FAILED,
   UPSTREAM_REFUSED,
@@ -19,7 +19,7 @@
   TIMEOUT,
   HEDGE;
 
-  /** The reason in lower case with hyphens, as operators and counters see it. */
+  /** Returns the reason in lower case with hyphens, as operators and counters see it. */
   public String code() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/core/src/main/java/org/marjoramsail/core/failure/RunState.java
+++ b/core/src/main/java/org/marjoramsail/core/failure/RunState.java
@@ -1,12 +1,15 @@
 package org.marjoramsail.core.failure;
 
-/** What is known of whether a request that has no answer was run. */
+/** The knowledge of whether a request without a response was run. */
 public enum RunState {
-  /** Proven: it was never sent, or the upstream said that it did not run it. */
+  /**
+   * The request is proven not to have run: it was never sent, or the upstream responded that it did
+   * not run it.
+   */
   NOT_RUN("not-run"),
-  /** It ran before, and its answer went to whoever sent it then. */
+  /** The request ran before, and its response went to the caller that sent it then. */
   RAN("ran"),
-  /** It was sent, and nothing tells whether it ran. */
+  /** The request was sent, and it is not known whether it ran. */
   UNKNOWN("unknown");
 
   private final String code;
@@ -15,7 +18,7 @@
     this.code = code;
   }
 
-  /** The word that callers see. */
+  /** Returns the code that callers see. */
   public String code() {
     return code;
   }
--- a/core/src/main/java/org/marjoramsail/core/failure/package-info.java
+++ b/core/src/main/java/org/marjoramsail/core/failure/package-info.java
@@ -1,2 +1,2 @@
-/** Every way in which a request or an operation can fail, as types. */
+/** Types of the failures of requests and operations. */
 package org.marjoramsail.core.failure;
