--- a/core/src/main/java/org/marjoramsail/core/message/PeerMessageHandler.java
+++ b/core/src/main/java/org/marjoramsail/core/message/PeerMessageHandler.java
@@ -9,8 +9,8 @@
   /**
    * Handles one message.
    *
-   * @param from the run of a daemon that sent it, as proven in the handshake
-   * @param message what it says
+   * @param from the run of the daemon that sent it, as authenticated in the handshake
+   * @param message the message
    */
   void handle(DaemonId from, PeerMessage message);
 }
--- a/core/src/main/java/org/marjoramsail/core/message/PeerTransport.java
+++ b/core/src/main/java/org/marjoramsail/core/message/PeerTransport.java
@@ -2,15 +2,15 @@
 
 import org.marjoramsail.core.model.DaemonId;
 
-/** Sends messages to other daemons, without waiting and without a promise of delivery. */
+/** Sends messages to other daemons asynchronously, without a guarantee of delivery. */
 @FunctionalInterface
 public interface PeerTransport {
 
   /**
-   * Sends one message; it may be lost, and is never delivered twice by the transport itself.
+   * Sends one message, which may be lost; the transport itself never delivers it twice.
    *
-   * @param to the daemon that should get it; an incarnation other than the running one gets nothing
-   * @param message what to send
+   * @param to the receiving daemon; nothing is delivered if another incarnation of it is running
+   * @param message the message
    */
   void send(DaemonId to, PeerMessage message);
 }
--- a/core/src/main/java/org/marjoramsail/core/message/package-info.java
+++ b/core/src/main/java/org/marjoramsail/core/message/package-info.java
@@ -1,2 +1,2 @@
-/** What daemons say to each other, as types; the daemon module gives each its bytes. */
+/** Types of the messages between daemons; the daemon module encodes them. */
 package org.marjoramsail.core.message;
