--- a/core/src/main/java/org/marjoramsail/core/time/Clock.java
+++ b/core/src/main/java/org/marjoramsail/core/time/Clock.java
@@ -1,17 +1,18 @@
 package org.marjoramsail.core.time;
 
 /**
- * Tells the time in milliseconds.
+ * Source of the time in milliseconds.
  *
- * <p>All code of the project asks a clock that it was given; the core is never given a wall clock
- * of its own. Differences between two readings are meaningful; a reading of one process is never
- * compared with one of another.
+ * <p>All code of the project uses a clock that is passed to it; the core never creates a wall clock
+ * of its own. Only differences between two readings in one process are meaningful; readings of
+ * different processes are never compared.
  */
 @FunctionalInterface
 public interface Clock {
 
   /**
-   * Milliseconds since some fixed instant; never falls, unless it is said to be the time of day.
+   * Returns the milliseconds since a fixed instant; never decreases, unless the clock is documented
+   * as the time of day.
    */
   long millis();
 }
--- a/core/src/main/java/org/marjoramsail/core/time/ManualClock.java
+++ b/core/src/main/java/org/marjoramsail/core/time/ManualClock.java
@@ -2,12 +2,12 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A clock that moves only when told to, for tests, fuzzing and models. */
+/** A clock that advances only on request, for tests, fuzzing and simulations. */
 public final class ManualClock implements Clock {
 
   private final AtomicLong now;
 
-  /** Starts at {@code startMillis}. */
+  /** Creates a clock that starts at {@code startMillis}. */
   public ManualClock(long startMillis) {
     this.now = new AtomicLong(startMillis);
   }
@@ -18,9 +18,9 @@
   }
 
   /**
-   * Moves the clock forward.
+   * Advances the clock.
    *
-   * @param millis how far, in milliseconds; zero or more
+   * @param millis the time to advance by, in milliseconds; zero or more
    * @return the new reading
    */
   public long advance(long millis) {
--- a/core/src/main/java/org/marjoramsail/core/time/SuspensionWatch.java
+++ b/core/src/main/java/org/marjoramsail/core/time/SuspensionWatch.java
@@ -1,18 +1,18 @@
 package org.marjoramsail.core.time;
 
 /**
- * Notices that the host may have stood still for a time that the clock of this process did not
+ * Detects that the host may have been suspended for a time that the clock of this process did not
  * count.
  *
- * <p>Guards against a suspended host: its monotonic clock stops with it, so a lease that others
- * have taken since still looks as if it had seconds left. The wall clock goes on meanwhile. A step
- * of the wall clock looks the same and is taken for a suspension, which costs one renewal.
+ * <p>Guards against a lease that was taken over during the suspension: the monotonic clock stops
+ * with the host, so the lease would still seem valid. The wall clock continues during a suspension.
+ * A step of the wall clock is also reported as a suspension, which costs one renewal of the lease.
  *
- * <p>Not safe for several threads.
+ * <p>Not thread-safe.
  */
 public final class SuspensionWatch {
 
-  /** The two clocks drift and are read one after the other; less than this is no suspension. */
+  /** The tolerance for the drift between the clocks and for reading one after the other. */
   private static final long TOLERANCE_MILLIS = 250;
 
   private final Clock steady;
@@ -20,10 +20,10 @@
   private long aheadMillis;
 
   /**
-   * Starts now.
+   * Starts observing the clocks.
    *
    * @param steady the clock by which time-outs are counted
-   * @param wall the time of day, which goes on while the host is suspended
+   * @param wall the time of day, which continues while the host is suspended
    */
   public SuspensionWatch(Clock steady, Clock wall) {
     this.steady = steady;
@@ -31,7 +31,7 @@
     this.aheadMillis = wall.millis() - steady.millis();
   }
 
-  /** Whether the clocks have moved apart since the last question. */
+  /** Returns whether the clocks have diverged since the last call. */
   public boolean hasSuspended() {
     long before = aheadMillis;
     aheadMillis = wall.millis() - steady.millis();
--- a/core/src/main/java/org/marjoramsail/core/time/package-info.java
+++ b/core/src/main/java/org/marjoramsail/core/time/package-info.java
@@ -1,2 +1,2 @@
-/** The one clock type of the project. */
+/** The clock that all code of the project uses. */
 package org.marjoramsail.core.time;
