--- a/core/src/test/java/org/marjoramsail/core/CoreBoundaryTest.java
+++ b/core/src/test/java/org/marjoramsail/core/CoreBoundaryTest.java
@@ -15,7 +15,7 @@
           .importPackages("org.marjoramsail.core");
 
   @Test
-  void theCoreKnowsNeitherNetworkNorFilesNorThreads() {
+  void theCoreUsesNoNetworkFilesOrThreads() {
     noClasses()
         .should()
         .dependOnClassesThat()
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void theCoreAsksNoWallClockAndNoGlobalRandomness() {
+  void theCoreUsesNoWallClockOrGlobalRandomness() {
     noClasses()
         .should()
         .callMethod(System.class, "currentTimeMillis")
