--- a/core/src/main/java/org/marjoramsail/core/placement/ShardCoordinator.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardCoordinator.java
@@ -107,7 +107,7 @@
    *
    * <p>Attempts that the daemon registered in the meantime were not queued by the placer. Their
    * registrations are removed, so that the daemon registers them again when it next sends its
-   * holdings; otherwise it would be told that they wait and would never be granted.
+   * holdings; otherwise they would stay registered as waiting and would never be granted.
    *
    * <p>Attempts that the placer does hold stay registered. Guards against slots that are held for
    * good: a daemon that has just started may place requests before its recovery is detected, and
--- a/core/src/test/java/org/marjoramsail/core/placement/PlacementSimulation.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PlacementSimulation.java
@@ -287,8 +287,8 @@
     for (EntryAction action : actions) {
       if (action instanceof EntryAction.Send send) {
         post(host.id, send.to(), send.message());
-      } else if (action instanceof EntryAction.Complete answer) {
-        complete(host, answer.result());
+      } else if (action instanceof EntryAction.Complete completion) {
+        complete(host, completion.result());
       }
     }
   }
--- a/core/src/test/java/org/marjoramsail/core/placement/ShardCoordinatorTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/ShardCoordinatorTest.java
@@ -67,7 +67,7 @@
   // is wrongly declared failed, sends the request and recovers. The placer ignored the request, so
   // its registration must not remain.
   @Test
-  void requestsFromADaemonWronglyDeclaredDeadAreRequestedAgainAfterItsRecovery() {
+  void requestsFromADaemonWronglyDeclaredFailedAreRequestedAgainAfterItsRecovery() {
     ShardCoordinator reserving = coordinatorWithReservingPlacer();
     PlacementMessage place =
         new PlacementMessage.Place(SHARD, placementRequest("first"), List.of());
--- a/core/src/test/java/org/marjoramsail/core/placement/SoftOwnershipFuzzTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/SoftOwnershipFuzzTest.java
@@ -41,7 +41,7 @@
     private final List<Envelope> inFlight = new ArrayList<>();
     private final Map<RequestId, DaemonId> waiting = new HashMap<>();
     private final Map<RequestId, DaemonId> granted = new HashMap<>();
-    private final Set<RequestId> answered = new HashSet<>();
+    private final Set<RequestId> completed = new HashSet<>();
     private List<DaemonId> ranking;
     private double lossRate;
     private long now = 1_000;
@@ -161,10 +161,10 @@
       for (EntryAction action : actions) {
         if (action instanceof EntryAction.Send send) {
           post(entry, send.to(), send.message());
-        } else if (action instanceof EntryAction.Complete answer) {
-          assertThat(answered.add(answer.request())).as("answered once").isTrue();
-          assertThat(waiting.remove(answer.request())).as("was waiting").isEqualTo(entry);
-          granted.put(answer.request(), entry);
+        } else if (action instanceof EntryAction.Complete completion) {
+          assertThat(completed.add(completion.request())).as("completed once").isTrue();
+          assertThat(waiting.remove(completion.request())).as("was waiting").isEqualTo(entry);
+          granted.put(completion.request(), entry);
         }
       }
     }
