--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementViews.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementViews.java
@@ -12,7 +12,7 @@
   static ShardView view(
       ShardId shard,
       ShardUpstreams upstreams,
-      SlotLedger ledger,
+      SlotReservations reservations,
       List<WaitingAttempt> inOrder,
       OrganisationTable organisations,
       WaitEstimator waits,
@@ -24,7 +24,7 @@
     return new ShardView(
         shard,
         upstreams.all().stream().map(upstream -> upstreamView(upstream, nowMillis)).toList(),
-        ledger.all().stream()
+        reservations.all().stream()
             .sorted(Comparator.comparingLong(RunningAttempt::startedAt))
             .map(attempt -> runningView(attempt, nowMillis))
             .toList(),
--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -50,7 +50,7 @@
   private final OrganisationTable organisations;
   private final PlacementEstimates estimates;
   private final UpstreamSelector selector;
-  private final SlotLedger ledger;
+  private final SlotReservations reservations;
   private final WaitEstimator waits;
   private final RoleAdvisor roles;
   private final WaitingQueue queue = new WaitingQueue();
@@ -72,7 +72,7 @@
     this.upstreams = new ShardUpstreams(settings, estimates.outputLengths());
     this.conditions = new OwnerFeedback(upstreams);
     this.selector = new UpstreamSelector(upstreams, estimates, setup, nowMillis);
-    this.ledger = new SlotLedger(upstreams, estimates);
+    this.reservations = new SlotReservations(upstreams, estimates);
     this.waits = new WaitEstimator(upstreams, queue, estimates, selector);
     this.roles = new RoleAdvisor(upstreams, estimates, settings);
     define(setup.configuration(), nowMillis);
@@ -87,7 +87,7 @@
 
   @Override
   public List<PlacementResult> place(PlacementRequest request, long nowMillis) {
-    Optional<RunningAttempt> running = ledger.find(request.request());
+    Optional<RunningAttempt> running = reservations.find(request.request());
     if (running.isPresent() && running.get().request().attempt() == request.attempt()) {
       // The entry repeats what it has not heard of: its grant was lost on the way.
       count(PlacementCounter.GRANT_REPEATED);
@@ -120,7 +120,7 @@
   public List<PlacementResult> restore(
       PlacementRequest request, Grant grant, AttemptPhase phase, long nowMillis) {
     boolean isKnown =
-        ledger
+        reservations
             .find(request.request())
             .filter(attempt -> attempt.request().attempt() >= request.attempt())
             .isPresent();
@@ -132,7 +132,7 @@
     forget(request.request(), nowMillis);
     OrganisationState organisation = organisations.of(request.organisation());
     long bytes = selector.transferBytes(request);
-    ledger.restore(request, grant, phase, organisation, bytes, nowMillis);
+    reservations.restore(request, grant, phase, organisation, bytes, nowMillis);
     count(PlacementCounter.RESTORED);
     return dispatch(nowMillis);
   }
@@ -140,7 +140,7 @@
   @Override
   public List<PlacementResult> report(AttemptReport report, long nowMillis) {
     Optional<RunningAttempt> found =
-        ledger
+        reservations
             .find(report.request())
             .filter(attempt -> attempt.request().attempt() == report.attempt());
     if (found.isEmpty()) {
@@ -153,7 +153,7 @@
     if (report.phase() == AttemptPhase.ENDED) {
       end(attempt, report, nowMillis);
     } else {
-      ledger.progress(attempt, report, nowMillis);
+      reservations.progress(attempt, report, nowMillis);
     }
     return dispatch(nowMillis);
   }
@@ -199,9 +199,11 @@
     memory.daemonFailed(daemon, nowMillis);
     upstreams.daemonFailed(daemon);
     List<RequestId> lost = new ArrayList<>();
-    ledger.ofDaemon(daemon).forEach(attempt -> lost.add(attempt.request().request()));
+    reservations.attemptsOf(daemon).forEach(attempt -> lost.add(attempt.request().request()));
     waiting.values().stream()
-        .filter(attempt -> SlotLedger.isRunOf(attempt.request().entry(), daemon))
+        .filter(
+            attempt ->
+                SlotReservations.isSameOrEarlierIncarnation(attempt.request().entry(), daemon))
         .forEach(attempt -> lost.add(attempt.request().request()));
     lost.forEach(request -> forget(request, nowMillis));
     return dispatch(nowMillis);
@@ -231,7 +233,7 @@
 
   @Override
   public boolean holds(RequestId request) {
-    return waiting.containsKey(request) || ledger.find(request).isPresent();
+    return waiting.containsKey(request) || reservations.find(request).isPresent();
   }
 
   @Override
@@ -282,7 +284,7 @@
       boolean isEnding = upstream.role() != UpstreamRole.PREFILL;
       slots += isEnding && upstream.isUsable(nowMillis) ? upstream.slots() : 0;
     }
-    return (ledger.size() + waiting.size()) / (double) Math.max(1, slots);
+    return (reservations.size() + waiting.size()) / (double) Math.max(1, slots);
   }
 
   @Override
@@ -293,14 +295,15 @@
             .thenComparingDouble(it -> it.organisation().lane(it.lane()).startTag())
             .thenComparing(WaitingQueue.BY_ORDER));
     inOrder.stream().limit(DIAGNOSED_IN_VIEW).forEach(it -> diagnose(it, nowMillis));
-    return PlacementViews.view(shard, upstreams, ledger, inOrder, organisations, waits, nowMillis);
+    return PlacementViews.view(
+        shard, upstreams, reservations, inOrder, organisations, waits, nowMillis);
   }
 
   /** An upstream that has started again runs nothing of what its earlier life ran. */
   private void define(Configuration configuration, long nowMillis) {
     ShardMap map = new ShardMap(configuration, settings.shardUpstreams());
     for (UpstreamName again : upstreams.define(map.upstreamsOf(shard), nowMillis)) {
-      ledger.generatingOn(again).forEach(over -> forget(over, nowMillis));
+      reservations.generatingOn(again).forEach(over -> forget(over, nowMillis));
     }
     organisations.configure(configuration, map.shards().size());
     long kvBytesPerToken =
@@ -339,7 +342,7 @@
     }
     // Estimates that went wrong once would refuse everything and so never be corrected: while
     // nothing else runs or waits, a request is tried in spite of them.
-    boolean isIdle = waiting.isEmpty() && ledger.size() == 0;
+    boolean isIdle = waiting.isEmpty() && reservations.size() == 0;
     if (WaitingAttempt.usefulWithin(request) < leastMillis && !isIdle) {
       String detail =
           "It needs "
@@ -508,7 +511,7 @@
     if (granting.choice().mode().isTransferring() && !granting.choice().isPrefillNeeded()) {
       count(PlacementCounter.GRANTED_FOR_LIVE_KV);
     }
-    Grant grant = ledger.grant(attempt, granting.choice(), nowMillis);
+    Grant grant = reservations.grant(attempt, granting.choice(), nowMillis);
     return new PlacementResult.Granted(request.entry(), grant);
   }
 
@@ -521,7 +524,7 @@
   private void end(RunningAttempt attempt, AttemptReport report, long nowMillis) {
     AttemptResult result = report.result().orElse(AttemptResult.FAILED);
     if (result == AttemptResult.COMPLETED) {
-      ledger.learnCompletion(attempt, report, nowMillis);
+      reservations.learnCompletion(attempt, report, nowMillis);
       attempt.target().ifPresent(target -> target.ejection().succeeded(nowMillis));
       attempt.prefill().ifPresent(prefill -> prefill.ejection().succeeded(nowMillis));
     }
@@ -539,7 +542,7 @@
           .flatMap(upstreams::find)
           .ifPresent(full -> full.refusedAsFull(nowMillis));
     }
-    ledger.release(attempt, nowMillis);
+    reservations.release(attempt, nowMillis);
     memory.ended(report.request(), report.attempt(), nowMillis);
   }
 
@@ -558,9 +561,9 @@
       queue.remove(queued);
       memory.ended(request, queued.request().attempt(), nowMillis);
     }
-    Optional<RunningAttempt> running = ledger.find(request);
+    Optional<RunningAttempt> running = reservations.find(request);
     if (running.isPresent()) {
-      ledger.release(running.get(), nowMillis);
+      reservations.release(running.get(), nowMillis);
       memory.ended(request, running.get().request().attempt(), nowMillis);
     }
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/SlotLedger.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/SlotReservations.java
@@ -12,15 +12,15 @@
 /**
  * The attempts of one shard that hold something, and what each holds: a slot of its target from
  * grant to end, a slot and queue space of its prefill upstream until the prompt is read, and its
- * share of two links until the first token.
+ * share of two links until the upstream token.
  */
-final class SlotLedger {
+final class SlotReservations {
 
   private final Map<RequestId, RunningAttempt> running = new HashMap<>();
   private final ShardUpstreams upstreams;
   private final PlacementEstimates estimates;
 
-  SlotLedger(ShardUpstreams upstreams, PlacementEstimates estimates) {
+  SlotReservations(ShardUpstreams upstreams, PlacementEstimates estimates) {
     this.upstreams = upstreams;
     this.estimates = estimates;
   }
@@ -48,11 +48,13 @@
       estimates.learnHeldTokens(request);
     }
     if (choice.isPrefillNeeded()) {
-      UpstreamState reader = choice.prefill().orElse(choice.target());
-      reader.startPrefill(choice.uncachedTokens(), nowMillis);
-      reader.prefixes().addAll(request.prefixHashes());
+      UpstreamState prefillUpstream = choice.prefill().orElse(choice.target());
+      prefillUpstream.startPrefill(choice.uncachedTokens(), nowMillis);
+      prefillUpstream.prefixes().addAll(request.prefixHashes());
     }
-    choice.prefill().ifPresent(reader -> reader.startTransfer(choice.transferBytes()));
+    choice
+        .prefill()
+        .ifPresent(prefillUpstream -> prefillUpstream.startTransfer(choice.transferBytes()));
     if (choice.prefill().isPresent() && choice.isPrefillNeeded()) {
       requireFree(choice.prefill().get(), nowMillis);
       choice.prefill().get().reserve(request.alone(), nowMillis);
@@ -60,7 +62,7 @@
     if (choice.mode().isTransferring()) {
       choice.target().startTransfer(choice.transferBytes());
     }
-    awaitSign(request, choice, nowMillis);
+    expectFirstOutput(request, choice, nowMillis);
     attempt.organisation().started(request, nowMillis);
     AttemptPhase phase =
         choice.isPrefillNeeded() ? AttemptPhase.PREFILLING : AttemptPhase.PREFILLED;
@@ -79,17 +81,17 @@
     return grant;
   }
 
-  /** Awaits the first sign: of whoever reads the prompt, or of the target if it is read. */
-  private static void awaitSign(
+  /** Awaits the upstream sign: of whoever reads the prompt, or of the target if it is read. */
+  private static void expectFirstOutput(
       PlacementRequest request, PlacementCandidate choice, long nowMillis) {
     if (!request.isGeneration()) {
       return;
     }
-    UpstreamState first =
+    UpstreamState upstream =
         choice.isPrefillNeeded() ? choice.prefill().orElse(choice.target()) : choice.target();
     double expected =
-        choice.isPrefillNeeded() ? first.queueMillis(nowMillis) : choice.transferMillis();
-    first.progressWatchdog().awaitProgress(request.request(), request.entry(), expected, nowMillis);
+        choice.isPrefillNeeded() ? upstream.queueMillis(nowMillis) : choice.transferMillis();
+    upstream.progressWatchdog().awaitProgress(request.request(), request.entry(), expected, nowMillis);
   }
 
   /** Counts an attempt that another owner granted, even beyond the slots that there are. */
@@ -102,9 +104,9 @@
       long nowMillis) {
     Optional<UpstreamState> prefill = grant.prefill().flatMap(upstreams::find);
     Optional<UpstreamState> target = upstreams.find(grant.target());
-    boolean isReading = phase == AttemptPhase.PREFILLING && grant.expectedPrefillMillis() > 0;
-    AttemptPhase known =
-        isReading || phase == AttemptPhase.GENERATING ? phase : AttemptPhase.PREFILLED;
+    boolean isPrefilling = phase == AttemptPhase.PREFILLING && grant.expectedPrefillMillis() > 0;
+    AttemptPhase phaseReached =
+        isPrefilling || phase == AttemptPhase.GENERATING ? phase : AttemptPhase.PREFILLED;
     RunningAttempt attempt =
         new RunningAttempt(
             request,
@@ -114,17 +116,18 @@
             target,
             request.promptTokens(),
             grant.mode().isTransferring() ? transferBytes : 0,
-            known,
+            phaseReached,
             nowMillis);
     target.ifPresent(upstream -> upstream.adopt(request.alone()));
     target.ifPresent(upstream -> upstream.reserveMemory(request));
-    if (isReading) {
+    if (isPrefilling) {
       prefill.ifPresent(upstream -> upstream.adopt(request.alone()));
       attempt
           .reader()
-          .ifPresent(reader -> reader.startPrefill(attempt.uncachedTokens(), nowMillis));
+          .ifPresent(
+              prefillUpstream -> prefillUpstream.startPrefill(attempt.uncachedTokens(), nowMillis));
     }
-    if (known == AttemptPhase.GENERATING) {
+    if (phaseReached == AttemptPhase.GENERATING) {
       target.ifPresent(upstream -> upstream.generationStarted(request, nowMillis));
     } else {
       prefill.ifPresent(upstream -> upstream.startTransfer(attempt.transferBytes()));
@@ -136,11 +139,11 @@
 
   /** Moves an attempt on; a report of a phase that it has already reached changes nothing. */
   void progress(RunningAttempt attempt, AttemptReport report, long nowMillis) {
-    boolean isLate = report.phase().compareTo(attempt.phase()) <= 0;
-    if (isLate || report.phase() == AttemptPhase.ENDED) {
+    boolean isOutdated = report.phase().compareTo(attempt.phase()) <= 0;
+    if (isOutdated || report.phase() == AttemptPhase.ENDED) {
       return;
     }
-    noteSign(attempt, report.phase(), nowMillis);
+    recordProgress(attempt, report.phase(), nowMillis);
     if (attempt.phase() == AttemptPhase.PREFILLING) {
       learnPrefill(attempt, report, nowMillis);
       releasePrefill(attempt, nowMillis);
@@ -155,7 +158,7 @@
 
   /** Releases all that an attempt still holds. */
   void release(RunningAttempt attempt, long nowMillis) {
-    settleSigns(attempt);
+    stopExpectingProgress(attempt);
     if (attempt.phase() == AttemptPhase.PREFILLING) {
       releasePrefill(attempt, nowMillis);
     }
@@ -179,18 +182,18 @@
     if (attempt.phase() == AttemptPhase.GENERATING) {
       estimates.learnOutput(
           attempt.request(), report.outputTokens(), nowMillis - attempt.phaseAt());
-      double readingMillis =
+      double localPrefillMillis =
           attempt
               .target()
               .map(it -> it.recentLocalPrefills().longestMillisAfter(attempt.phaseAt()))
               .orElse(0.0);
-      estimates.learnPause(attempt.request(), report.longestPauseMillis(), readingMillis);
+      estimates.learnPause(attempt.request(), report.longestPauseMillis(), localPrefillMillis);
     }
   }
 
-  /** Handles the sign by which a phase was reached, and awaits the next: a first piece. */
-  private static void noteSign(RunningAttempt attempt, AttemptPhase reached, long nowMillis) {
-    settleSigns(attempt);
+  /** Handles the sign by which a phase was reached, and awaits the next: a upstream piece. */
+  private static void recordProgress(RunningAttempt attempt, AttemptPhase reached, long nowMillis) {
+    stopExpectingProgress(attempt);
     if (reached == AttemptPhase.PREFILLED) {
       PlacementRequest request = attempt.request();
       double expected = attempt.grant().expectedTransferMillis();
@@ -206,14 +209,17 @@
     }
   }
 
-  private static void settleSigns(RunningAttempt attempt) {
+  private static void stopExpectingProgress(RunningAttempt attempt) {
     RequestId request = attempt.request().request();
     attempt.prefill().ifPresent(prefill -> prefill.progressWatchdog().stopAwaiting(request));
     attempt.target().ifPresent(target -> target.progressWatchdog().stopAwaiting(request));
   }
 
   private void releasePrefill(RunningAttempt attempt, long nowMillis) {
-    attempt.reader().ifPresent(reader -> reader.endPrefill(attempt.uncachedTokens(), nowMillis));
+    attempt
+        .reader()
+        .ifPresent(
+            prefillUpstream -> prefillUpstream.endPrefill(attempt.uncachedTokens(), nowMillis));
     attempt.prefill().ifPresent(prefill -> prefill.release(attempt.request().alone(), nowMillis));
   }
 
@@ -223,32 +229,32 @@
   }
 
   private static void learnPrefill(RunningAttempt attempt, AttemptReport report, long nowMillis) {
-    Optional<UpstreamState> reader = attempt.reader();
-    if (reader.isEmpty()) {
+    Optional<UpstreamState> prefillUpstream = attempt.reader();
+    if (prefillUpstream.isEmpty()) {
       return;
     }
     int cached = report.cachedPromptTokens();
     int promptTokens = attempt.request().promptTokens();
     if (report.tookMillis() > 0) {
       int uncachedTokens = Math.max(1, promptTokens - cached);
-      reader.get().learnPrefill(uncachedTokens, report.tookMillis(), nowMillis);
+      prefillUpstream.get().learnPrefill(uncachedTokens, report.tookMillis(), nowMillis);
     }
     // The index is a hint from late events: blocks that the engine did not have are taken out, and
     // the prompt that it has just read is put in.
     if (cached < attempt.expectedCachedTokens()) {
       int cachedBlocks = cached / UpstreamSelector.BLOCK_TOKENS;
-      reader.get().prefixes().removeBeyond(attempt.request().prefixHashes(), cachedBlocks);
+      prefillUpstream.get().prefixes().removeBeyond(attempt.request().prefixHashes(), cachedBlocks);
     }
-    reader.get().prefixes().addAll(attempt.request().prefixHashes());
+    prefillUpstream.get().prefixes().addAll(attempt.request().prefixHashes());
   }
 
   private void learnTransfer(RunningAttempt attempt, long nowMillis) {
     boolean isMeasured =
         attempt.phase() == AttemptPhase.PREFILLED && attempt.grant().mode().isTransferring();
-    boolean isAlone =
+    boolean isOnlyTransfer =
         attempt.prefill().stream().allMatch(up -> up.linkBytes() == attempt.transferBytes())
             && attempt.target().stream().allMatch(up -> up.linkBytes() == attempt.transferBytes());
-    if (isMeasured && isAlone) {
+    if (isMeasured && isOnlyTransfer) {
       estimates.learnTransfer(attempt.transferBytes(), nowMillis - attempt.phaseAt());
     }
   }
@@ -270,14 +276,14 @@
         .toList();
   }
 
-  List<RunningAttempt> ofDaemon(DaemonId daemon) {
+  List<RunningAttempt> attemptsOf(DaemonId daemon) {
     return running.values().stream()
-        .filter(attempt -> isRunOf(attempt.request().entry(), daemon))
+        .filter(attempt -> isSameOrEarlierIncarnation(attempt.request().entry(), daemon))
         .toList();
   }
 
-  /** Whether {@code entry} is the dead run or an earlier run of its host. */
-  static boolean isRunOf(DaemonId entry, DaemonId dead) {
-    return entry.equals(dead) || dead.supersedes(entry);
+  /** Whether {@code entry} is the failed run or an earlier run of its host. */
+  static boolean isSameOrEarlierIncarnation(DaemonId entry, DaemonId failed) {
+    return entry.equals(failed) || failed.supersedes(entry);
   }
 }
