--- a/core/src/main/java/org/marjoramsail/core/placement/AttemptMemory.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/AttemptTombstones.java
@@ -6,28 +6,28 @@
 import org.marjoramsail.core.model.RequestId;
 
 /**
- * Remembers for some seconds which attempts have ended and which daemons are gone.
+ * Remembers for some seconds which attempts have ended and which daemons are failedDaemons.
  *
  * <p>Entry daemons repeat what may be lost, so a message can arrive after the end of what it is
  * about. Taken at its word it would reserve slots that nobody releases.
  */
-final class AttemptMemory {
+final class AttemptTombstones {
 
-  private static final int MOST_REQUESTS = 4_096;
-  private static final int MOST_DAEMONS = 256;
-  private static final long MEMORY_MILLIS = 5_000;
+  private static final int MAXIMUM_REQUESTS = 4_096;
+  private static final int MAXIMUM_DAEMONS = 256;
+  private static final long RETENTION_MILLIS = 5_000;
 
   private final Cache<RequestId, Ended> ended =
-      Caffeine.newBuilder().maximumSize(MOST_REQUESTS).executor(Runnable::run).build();
-  private final Cache<DaemonId, Long> gone =
-      Caffeine.newBuilder().maximumSize(MOST_DAEMONS).executor(Runnable::run).build();
+      Caffeine.newBuilder().maximumSize(MAXIMUM_REQUESTS).executor(Runnable::run).build();
+  private final Cache<DaemonId, Long> failedDaemons =
+      Caffeine.newBuilder().maximumSize(MAXIMUM_DAEMONS).executor(Runnable::run).build();
 
   void ended(RequestId request, int attempt, long nowMillis) {
-    ended.put(request, new Ended(attempt, nowMillis + MEMORY_MILLIS));
+    ended.put(request, new Ended(attempt, nowMillis + RETENTION_MILLIS));
   }
 
   void daemonFailed(DaemonId daemon, long nowMillis) {
-    gone.put(daemon, nowMillis + MEMORY_MILLIS);
+    failedDaemons.put(daemon, nowMillis + RETENTION_MILLIS);
   }
 
   /**
@@ -38,7 +38,7 @@
    * requests would be queued. It is heard again as soon as membership has taken it back.
    */
   void daemonRecovered(DaemonId daemon) {
-    gone.invalidate(daemon);
+    failedDaemons.invalidate(daemon);
   }
 
   /**
@@ -47,13 +47,13 @@
    * <p>A daemon counts as gone for some seconds at most: one that was declared dead wrongly repeats
    * its requests and has to be heard again.
    */
-  boolean isOver(PlacementRequest request, long nowMillis) {
+  boolean isObsolete(PlacementRequest request, long nowMillis) {
     Ended last = ended.getIfPresent(request.request());
     if (last != null && nowMillis < last.untilMillis() && request.attempt() <= last.attempt()) {
       return true;
     }
-    Long goneUntil = gone.getIfPresent(request.entry());
-    return goneUntil != null && nowMillis < goneUntil;
+    Long failedUntil = failedDaemons.getIfPresent(request.entry());
+    return failedUntil != null && nowMillis < failedUntil;
   }
 
   private record Ended(int attempt, long untilMillis) {}
--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -55,7 +55,7 @@
   private final RoleAdvisor roles;
   private final WaitingQueue queue = new WaitingQueue();
   private final Map<RequestId, WaitingAttempt> waiting = new HashMap<>();
-  private final AttemptMemory memory = new AttemptMemory();
+  private final AttemptTombstones tombstones = new AttemptTombstones();
   private final ReturningCallers returning = new ReturningCallers();
   private final Map<PlacementCounter, Long> counters = new EnumMap<>(PlacementCounter.class);
 
@@ -96,7 +96,7 @@
     WaitingAttempt queued = waiting.get(request.request());
     boolean isQueued = queued != null && queued.request().attempt() >= request.attempt();
     boolean isOld = running.filter(it -> it.request().attempt() > request.attempt()).isPresent();
-    if (isQueued || isOld || memory.isOver(request, nowMillis)) {
+    if (isQueued || isOld || tombstones.isObsolete(request, nowMillis)) {
       count(PlacementCounter.LATE_PLACE_DROPPED);
       return List.of();
     }
@@ -124,7 +124,7 @@
             .find(request.request())
             .filter(attempt -> attempt.request().attempt() >= request.attempt())
             .isPresent();
-    boolean isEnded = phase == AttemptPhase.ENDED || memory.isOver(request, nowMillis);
+    boolean isEnded = phase == AttemptPhase.ENDED || tombstones.isObsolete(request, nowMillis);
     if (isKnown || isEnded) {
       count(PlacementCounter.LATE_RESTORE_DROPPED);
       return List.of();
@@ -191,12 +191,12 @@
 
   @Override
   public void daemonRecovered(DaemonId daemon) {
-    memory.daemonRecovered(daemon);
+    tombstones.daemonRecovered(daemon);
   }
 
   @Override
   public List<PlacementResult> daemonFailed(DaemonId daemon, long nowMillis) {
-    memory.daemonFailed(daemon, nowMillis);
+    tombstones.daemonFailed(daemon, nowMillis);
     upstreams.daemonFailed(daemon);
     List<RequestId> lost = new ArrayList<>();
     reservations.attemptsOf(daemon).forEach(attempt -> lost.add(attempt.request().request()));
@@ -442,9 +442,9 @@
   /**
    * Finds the next attempt that fits; lanes whose resource is used up are not looked at.
    *
-   * <p>Nor are lanes behind a more urgent one that waits for memory: at the peak of a burst small
-   * requests that were late already took each piece of memory that came free, and those that could
-   * still have been in time waited behind them until they were late as well.
+   * <p>Nor are lanes behind a more urgent one that waits for tombstones: at the peak of a burst
+   * small requests that were late already took each piece of tombstones that came free, and those
+   * that could still have been in time waited behind them until they were late as well.
    */
   private Optional<Granting> findNext(long nowMillis) {
     if (selector.freeSlots(ServiceClass.QUICK, nowMillis) <= 0) {
@@ -543,7 +543,7 @@
           .ifPresent(full -> full.refusedAsFull(nowMillis));
     }
     reservations.release(attempt, nowMillis);
-    memory.ended(report.request(), report.attempt(), nowMillis);
+    tombstones.ended(report.request(), report.attempt(), nowMillis);
   }
 
   private void fault(UpstreamState upstream, AttemptResult result, long nowMillis) {
@@ -559,12 +559,12 @@
     WaitingAttempt queued = waiting.remove(request);
     if (queued != null) {
       queue.remove(queued);
-      memory.ended(request, queued.request().attempt(), nowMillis);
+      tombstones.ended(request, queued.request().attempt(), nowMillis);
     }
     Optional<RunningAttempt> running = reservations.find(request);
     if (running.isPresent()) {
       reservations.release(running.get(), nowMillis);
-      memory.ended(request, running.get().request().attempt(), nowMillis);
+      tombstones.ended(request, running.get().request().attempt(), nowMillis);
     }
   }
 
