--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -56,7 +56,7 @@
   private final WaitingQueue queue = new WaitingQueue();
   private final Map<RequestId, WaitingAttempt> waiting = new HashMap<>();
   private final AttemptTombstones tombstones = new AttemptTombstones();
-  private final ReturningCallers returning = new ReturningCallers();
+  private final RetryingCallers retryingCallers = new RetryingCallers();
   private final Map<PlacementCounter, Long> counters = new EnumMap<>(PlacementCounter.class);
 
   private long nextSequence;
@@ -368,7 +368,7 @@
             serviceMillis(request, leastMillis),
             selector.needsPrefillUpstream(request, nowMillis),
             request.serviceClass().isUsefulAfterTarget()
-                && returning.isBack(request.contentHash(), nowMillis),
+                && retryingCallers.isExpectedRetry(request.contentHash(), nowMillis),
             settings,
             nowMillis);
     waiting.put(request.request(), attempt);
@@ -419,7 +419,7 @@
   }
 
   private PlacementResult refuseForNow(WaitingAttempt attempt, Refusal refusal, long nowMillis) {
-    returning.refused(attempt.request().contentHash(), nowMillis);
+    retryingCallers.recordRefusal(attempt.request().contentHash(), nowMillis);
     return refuse(attempt, refusal);
   }
 
--- a/core/src/main/java/org/marjoramsail/core/placement/ReturningCallers.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/RetryingCallers.java
@@ -15,31 +15,32 @@
  * seconds none of two thousand requests were in time for as long as a service had a fifth to spare,
  * where now all are (model of three servers, PlainOverloadTest).
  */
-final class ReturningCallers {
+final class RetryingCallers {
 
   /** Callers that have not come back by then do not, milliseconds. */
-  private static final long REMEMBERED_MILLIS = 12_000;
+  private static final long RETENTION_MILLIS = 12_000;
 
-  private static final int MOST = 4_096;
+  private static final int MAXIMUM_CALLERS = 4_096;
   private static final long NO_CONTENT = 0;
 
   private final Map<Long, Long> untilMillis = new LinkedHashMap<>();
 
   /** Records that a caller was told to come back. */
-  void refused(long content, long nowMillis) {
+  void recordRefusal(long content, long nowMillis) {
     if (content == NO_CONTENT) {
       return;
     }
     untilMillis.remove(content);
-    untilMillis.put(content, nowMillis + REMEMBERED_MILLIS);
+    untilMillis.put(content, nowMillis + RETENTION_MILLIS);
     Iterator<Long> oldest = untilMillis.values().iterator();
-    while (oldest.hasNext() && (oldest.next() <= nowMillis || untilMillis.size() > MOST)) {
+    while (oldest.hasNext()
+        && (oldest.next() <= nowMillis || untilMillis.size() > MAXIMUM_CALLERS)) {
       oldest.remove();
     }
   }
 
   /** Whether a caller comes back; true once for each time that it was told to. */
-  boolean isBack(long content, long nowMillis) {
+  boolean isExpectedRetry(long content, long nowMillis) {
     Long until = untilMillis.remove(content);
     return until != null && nowMillis < until;
   }
