--- a/core/src/main/java/org/marjoramsail/core/placement/RunningAttempt.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/RunningAttempt.java
@@ -16,7 +16,7 @@
   private final long startedAt;
 
   private AttemptPhase phase;
-  private long phaseAt;
+  private long phaseStartedAt;
 
   /**
    * Creates an instance with what was reserved for it.
@@ -45,7 +45,7 @@
     this.transferBytes = transferBytes;
     this.phase = phase;
     this.startedAt = nowMillis;
-    this.phaseAt = nowMillis;
+    this.phaseStartedAt = nowMillis;
   }
 
   PlacementRequest request() {
@@ -69,7 +69,7 @@
   }
 
   /** The upstream that reads the prompt. */
-  Optional<UpstreamState> reader() {
+  Optional<UpstreamState> prefillingUpstream() {
     return grant.mode().isTransferring() ? prefill : target;
   }
 
@@ -93,12 +93,12 @@
     return phase;
   }
 
-  long phaseAt() {
-    return phaseAt;
+  long phaseStartedAt() {
+    return phaseStartedAt;
   }
 
-  void enter(AttemptPhase newer, long nowMillis) {
-    phase = newer;
-    phaseAt = nowMillis;
+  void enter(AttemptPhase newPhase, long nowMillis) {
+    phase = newPhase;
+    phaseStartedAt = nowMillis;
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/SlotReservations.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/SlotReservations.java
@@ -123,7 +123,7 @@
     if (isPrefilling) {
       prefill.ifPresent(upstream -> upstream.adopt(request.alone()));
       attempt
-          .reader()
+          .prefillingUpstream()
           .ifPresent(
               prefillUpstream -> prefillUpstream.startPrefill(attempt.uncachedTokens(), nowMillis));
     }
@@ -181,11 +181,11 @@
     attempt.target().ifPresent(target -> target.progressWatchdog().progressMade(nowMillis));
     if (attempt.phase() == AttemptPhase.GENERATING) {
       estimates.learnOutput(
-          attempt.request(), report.outputTokens(), nowMillis - attempt.phaseAt());
+          attempt.request(), report.outputTokens(), nowMillis - attempt.phaseStartedAt());
       double localPrefillMillis =
           attempt
               .target()
-              .map(it -> it.recentLocalPrefills().longestMillisAfter(attempt.phaseAt()))
+              .map(it -> it.recentLocalPrefills().longestMillisAfter(attempt.phaseStartedAt()))
               .orElse(0.0);
       estimates.learnPause(attempt.request(), report.longestPauseMillis(), localPrefillMillis);
     }
@@ -217,7 +217,7 @@
 
   private void releasePrefill(RunningAttempt attempt, long nowMillis) {
     attempt
-        .reader()
+        .prefillingUpstream()
         .ifPresent(
             prefillUpstream -> prefillUpstream.endPrefill(attempt.uncachedTokens(), nowMillis));
     attempt.prefill().ifPresent(prefill -> prefill.release(attempt.request().alone(), nowMillis));
@@ -229,7 +229,7 @@
   }
 
   private static void learnPrefill(RunningAttempt attempt, AttemptReport report, long nowMillis) {
-    Optional<UpstreamState> prefillUpstream = attempt.reader();
+    Optional<UpstreamState> prefillUpstream = attempt.prefillingUpstream();
     if (prefillUpstream.isEmpty()) {
       return;
     }
@@ -255,7 +255,7 @@
         attempt.prefill().stream().allMatch(up -> up.linkBytes() == attempt.transferBytes())
             && attempt.target().stream().allMatch(up -> up.linkBytes() == attempt.transferBytes());
     if (isMeasured && isOnlyTransfer) {
-      estimates.learnTransfer(attempt.transferBytes(), nowMillis - attempt.phaseAt());
+      estimates.learnTransfer(attempt.transferBytes(), nowMillis - attempt.phaseStartedAt());
     }
   }
 
