--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -343,12 +343,12 @@
     // Estimates that went wrong once would refuse everything and so never be corrected: while
     // nothing else runs or waits, a request is tried in spite of them.
     boolean isIdle = waiting.isEmpty() && reservations.size() == 0;
-    if (WaitingAttempt.usefulWithin(request) < leastMillis && !isIdle) {
+    if (WaitingAttempt.usefulWithinMillis(request) < leastMillis && !isIdle) {
       String detail =
           "It needs "
               + Math.round(leastMillis)
               + " ms to its target and has "
-              + WaitingAttempt.usefulWithin(request)
+              + WaitingAttempt.usefulWithinMillis(request)
               + " ms.";
       return Optional.of(Refusal.notRun(RefusalReason.DEADLINE_UNREACHABLE, detail));
     }
@@ -383,7 +383,7 @@
    * granted in the last moment before their target were all answered just after it.
    */
   private long serviceMillis(PlacementRequest request, double leastMillis) {
-    double targetWithin = Math.max(0, WaitingAttempt.targetWithin(request));
+    double targetWithin = Math.max(0, WaitingAttempt.targetWithinMillis(request));
     boolean isKnown = !request.isGeneration() && estimates.hasEnoughSamples();
     double answering = isKnown ? Math.min(estimates.holdMillis(), targetWithin / 2) : 0;
     return (long) Math.min(Math.max(leastMillis, answering), targetWithin);
@@ -397,7 +397,7 @@
     }
     diagnose(attempt, nowMillis);
     // What is beyond a limit is told at once: it would wait for credit that newer requests take.
-    if (attempt.canWaitLate() && attempt.missing() != MissingResource.ORGANISATION_RATE) {
+    if (attempt.canWaitPastTarget() && attempt.missing() != MissingResource.ORGANISATION_RATE) {
       waitLate(attempt, results, nowMillis);
       return;
     }
--- a/core/src/main/java/org/marjoramsail/core/placement/WaitEstimator.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/WaitEstimator.java
@@ -42,7 +42,7 @@
    * its time is over.
    */
   Optional<Refusal> refusal(WaitingAttempt attempt, long nowMillis) {
-    long leftMillis = attempt.uselessAt() - nowMillis;
+    long leftMillis = attempt.usefulUntil() - nowMillis;
     int ownAhead = ownAhead(attempt);
     OrganisationState organisation = attempt.organisation();
     long rateMillis =
--- a/core/src/main/java/org/marjoramsail/core/placement/WaitingQueue.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/WaitingQueue.java
@@ -181,7 +181,7 @@
   private void account(WaitingAttempt attempt, int sign) {
     int lane = attempt.lane();
     count[lane] += sign;
-    pressing[lane] += attempt.isPressing() ? sign : 0;
+    pressing[lane] += attempt.isNearDeadline() ? sign : 0;
     work[lane] += sign * (double) attempt.request().promptTokens();
     attempt.organisation().waitingTokens(sign * attempt.request().countedTokens());
   }
