--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -453,14 +453,14 @@
     boolean isReaderOpen = selector.hasPrefillCapacity(nowMillis);
     int lastServed = WaitingQueue.LANES;
     for (WaitingQueue.Lane lane : queue.lanesInOrder()) {
-      if (lane.index() > lastServed || (lane.needsReader() && !isReaderOpen)) {
+      if (lane.index() > lastServed || (lane.needsPrefillUpstream() && !isReaderOpen)) {
         continue;
       }
       Optional<Granting> found = findInLane(lane.organisations(), nowMillis);
       if (found.isPresent()) {
         return found;
       }
-      if (lane.isHeadWithoutSlot(nowMillis)) {
+      if (lane.isHeadWaitingForSlot(nowMillis)) {
         lastServed = Math.min(lastServed, lane.index());
       }
     }
--- a/core/src/main/java/org/marjoramsail/core/placement/WaitEstimator.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/WaitEstimator.java
@@ -76,7 +76,7 @@
    * hopeless.
    */
   double waitMillis(WaitingAttempt attempt, long nowMillis) {
-    WaitingQueue.Ahead ahead = queue.ahead(attempt.lane(), nowMillis);
+    WaitingQueue.WorkAhead ahead = queue.workAhead(attempt.lane(), nowMillis);
     double fairCount =
         (ownAhead(attempt) + 1) * queue.activeWeight() / attempt.organisation().weight();
     double share = Math.min(1, Math.max(1, fairCount) / Math.max(1, ahead.count()));
@@ -107,7 +107,7 @@
     }
     double others = Math.max(0, ahead.tokens() * share - attempt.request().promptTokens());
     double readWait =
-        waitFor(ahead.urgentTokens(), others, readRate, ahead.urgentReadingPerMilli());
+        waitFor(ahead.urgentTokens(), others, readRate, ahead.urgentPrefillTokensPerMilli());
     return Math.max(slotWait, readQueue + readWait);
   }
 
--- a/core/src/main/java/org/marjoramsail/core/placement/WaitingQueue.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/WaitingQueue.java
@@ -37,29 +37,29 @@
           .thenComparing(lane -> lane.organisation().name());
 
   /** After that many grants to other lanes, a lane that has attempts goes first. */
-  private static final int[] LARGEST_SKIPPED = {
+  private static final int[] MAXIMUM_SKIPPED = {
     Integer.MAX_VALUE, 6, 6, 6, 12, 12, 12, 12, Integer.MAX_VALUE, Integer.MAX_VALUE
   };
 
   /** The same for a lane with attempts that may wait but have hardly any time left to. */
-  private static final int LARGEST_SKIPPED_PRESSING = 5;
+  private static final int MAXIMUM_SKIPPED_NEAR_DEADLINE = 5;
 
   private final List<TreeSet<OrganisationLane>> lanes = new ArrayList<>();
   private final TreeSet<WaitingAttempt> due = new TreeSet<>(BY_DUE);
   private final double[] virtualTime = new double[LANES];
   private final int[] skipped = new int[LANES];
   private final int[] count = new int[LANES];
-  private final int[] pressing = new int[LANES];
-  private final double[] work = new double[LANES];
-  private final DecayingRate[] grants = new DecayingRate[LANES];
-  private final DecayingRate[] reading = new DecayingRate[LANES];
+  private final int[] nearDeadline = new int[LANES];
+  private final double[] waitingPromptTokens = new double[LANES];
+  private final DecayingRate[] grantRates = new DecayingRate[LANES];
+  private final DecayingRate[] prefillRates = new DecayingRate[LANES];
   private double activeWeight;
 
   WaitingQueue() {
     for (int lane = 0; lane < LANES; lane++) {
       lanes.add(new TreeSet<>(BY_TAG));
-      grants[lane] = new DecayingRate();
-      reading[lane] = new DecayingRate();
+      grantRates[lane] = new DecayingRate();
+      prefillRates[lane] = new DecayingRate();
     }
   }
 
@@ -68,19 +68,24 @@
   }
 
   /** What waits in one lane, and what the more urgent classes take. */
-  Ahead ahead(int lane, long nowMillis) {
+  WorkAhead workAhead(int lane, long nowMillis) {
     int urgentCount = 0;
     double urgentTokens = 0;
     double urgentGrants = 0;
-    double urgentReading = 0;
+    double urgentPrefillTokens = 0;
     for (int other = 0; other < lane - lane % 2; other++) {
       urgentCount += count[other];
-      urgentTokens += other % 2 * work[other];
-      urgentGrants += grants[other].perMilli(nowMillis);
-      urgentReading += reading[other].perMilli(nowMillis);
+      urgentTokens += other % 2 * waitingPromptTokens[other];
+      urgentGrants += grantRates[other].perMilli(nowMillis);
+      urgentPrefillTokens += prefillRates[other].perMilli(nowMillis);
     }
-    return new Ahead(
-        count[lane], work[lane], urgentCount, urgentTokens, urgentGrants, urgentReading);
+    return new WorkAhead(
+        count[lane],
+        waitingPromptTokens[lane],
+        urgentCount,
+        urgentTokens,
+        urgentGrants,
+        urgentPrefillTokens);
   }
 
   /** The weights of all organisations that wait in any lane, each lane counted. */
@@ -98,7 +103,7 @@
     }
     lane.attempts().add(attempt);
     due.add(attempt);
-    account(attempt, 1);
+    updateTotals(attempt, 1);
   }
 
   void remove(WaitingAttempt attempt) {
@@ -106,7 +111,7 @@
     OrganisationLane lane = attempt.organisation().lane(index);
     due.remove(attempt);
     lane.attempts().remove(attempt);
-    account(attempt, -1);
+    updateTotals(attempt, -1);
     if (lane.attempts().isEmpty()) {
       lanes.get(index).remove(lane);
       activeWeight -= lane.leave();
@@ -117,9 +122,9 @@
    * Removes an attempt that was granted, and charges its organisation and its lane.
    *
    * @param cost between organisations, in tokens
-   * @param readTokens tokens that a prefill upstream reads for it
+   * @param prefillTokens tokens that a prefill upstream reads for it
    */
-  void granted(WaitingAttempt attempt, double cost, double readTokens, long nowMillis) {
+  void granted(WaitingAttempt attempt, double cost, double prefillTokens, long nowMillis) {
     int index = attempt.lane();
     OrganisationLane lane = attempt.organisation().lane(index);
     remove(attempt);
@@ -129,8 +134,8 @@
     if (isStillWaiting) {
       lanes.get(index).add(lane);
     }
-    grants[index].add(1, nowMillis);
-    reading[index].add(readTokens, nowMillis);
+    grantRates[index].add(1, nowMillis);
+    prefillRates[index].add(prefillTokens, nowMillis);
     for (int other = 0; other < LANES; other++) {
       skipped[other] = other == index || count[other] == 0 ? 0 : skipped[other] + 1;
     }
@@ -174,15 +179,15 @@
   }
 
   private boolean isSkippedTooOften(int lane) {
-    int largest = pressing[lane] > 0 ? LARGEST_SKIPPED_PRESSING : LARGEST_SKIPPED[lane];
-    return count[lane] > 0 && skipped[lane] >= largest;
+    int maximum = nearDeadline[lane] > 0 ? MAXIMUM_SKIPPED_NEAR_DEADLINE : MAXIMUM_SKIPPED[lane];
+    return count[lane] > 0 && skipped[lane] >= maximum;
   }
 
-  private void account(WaitingAttempt attempt, int sign) {
+  private void updateTotals(WaitingAttempt attempt, int sign) {
     int lane = attempt.lane();
     count[lane] += sign;
-    pressing[lane] += attempt.isNearDeadline() ? sign : 0;
-    work[lane] += sign * (double) attempt.request().promptTokens();
+    nearDeadline[lane] += attempt.isNearDeadline() ? sign : 0;
+    waitingPromptTokens[lane] += sign * (double) attempt.request().promptTokens();
     attempt.organisation().waitingTokens(sign * attempt.request().countedTokens());
   }
 
@@ -195,12 +200,12 @@
   record Lane(int index, Collection<OrganisationLane> organisations) {
 
     /** Whether a prefill upstream has to read its prompts. */
-    boolean needsReader() {
+    boolean needsPrefillUpstream() {
       return index % 2 == 1;
     }
 
     /** Whether what would be served next in it waits for a slot or the memory of an engine. */
-    boolean isHeadWithoutSlot(long nowMillis) {
+    boolean isHeadWaitingForSlot(long nowMillis) {
       return organisations.stream()
           .filter(lane -> lane.organisation().missing(nowMillis).isEmpty())
           .findFirst()
@@ -218,13 +223,13 @@
    * @param urgentCount attempts in lanes of more urgent classes
    * @param urgentTokens their tokens that prefill upstreams have to read
    * @param urgentGrantsPerMilli grants of those lanes of late
-   * @param urgentReadingPerMilli tokens read for those lanes of late
+   * @param urgentPrefillTokensPerMilli tokens read for those lanes of late
    */
-  record Ahead(
+  record WorkAhead(
       int count,
       double tokens,
       int urgentCount,
       double urgentTokens,
       double urgentGrantsPerMilli,
-      double urgentReadingPerMilli) {}
+      double urgentPrefillTokensPerMilli) {}
 }
