--- a/core/src/main/java/org/marjoramsail/core/placement/WaitEstimator.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/WaitEstimator.java
@@ -9,12 +9,12 @@
 final class WaitEstimator {
 
   /** A wait is believed to be at least that share of its estimate. */
-  private static final double CONFIDENCE = 0.6;
+  private static final double CERTAIN_SHARE = 0.6;
 
-  /** Skipped lanes are served now and then, so that some capacity is always left for each. */
-  private static final double LEAST_LEFT_SHARE = 0.1;
+  /** Skipped lanes are served now and then, so that some capacity is always remaining for each. */
+  private static final double MINIMUM_CAPACITY_SHARE = 0.1;
 
-  private static final long LEAST_RETRY_MILLIS = 1_000;
+  private static final long MINIMUM_RETRY_MILLIS = 1_000;
 
   private final ShardUpstreams upstreams;
   private final WaitingQueue queue;
@@ -42,11 +42,12 @@
    * its time is over.
    */
   Optional<Refusal> refusal(WaitingAttempt attempt, long nowMillis) {
-    long leftMillis = attempt.usefulUntil() - nowMillis;
-    int ownAhead = ownAhead(attempt);
+    long remainingMillis = attempt.usefulUntil() - nowMillis;
+    int aheadInOrganisation = aheadInOrganisation(attempt);
     OrganisationState organisation = attempt.organisation();
     long rateMillis =
-        organisation.rateWaitMillis(ownAhead, attempt.request().countedTokens(), nowMillis);
+        organisation.rateWaitMillis(
+            aheadInOrganisation, attempt.request().countedTokens(), nowMillis);
     if (rateMillis > Math.max(0, attempt.expiresAt() - nowMillis)) {
       String detail =
           "The rates of "
@@ -57,11 +58,11 @@
       return Optional.of(Refusal.notRun(RefusalReason.ORGANISATION_RATE, detail, rateMillis));
     }
     double wait = waitMillis(attempt, nowMillis);
-    boolean isGuess = !estimates.hasEnoughSamples() && leftMillis >= 0;
-    if (isGuess || wait * CONFIDENCE <= leftMillis) {
+    boolean isInitialEstimate = !estimates.hasEnoughSamples() && remainingMillis >= 0;
+    if (isInitialEstimate || wait * CERTAIN_SHARE <= remainingMillis) {
       return Optional.empty();
     }
-    long retryAfter = Math.max(LEAST_RETRY_MILLIS, (long) wait - leftMillis);
+    long retryAfter = Math.max(MINIMUM_RETRY_MILLIS, (long) wait - remainingMillis);
     String detail =
         "It would wait about " + Math.round(wait) + " ms for " + attempt.missing().code() + ".";
     return Optional.of(Refusal.notRun(attempt.missing().reason(), detail, retryAfter));
@@ -78,18 +79,18 @@
   double waitMillis(WaitingAttempt attempt, long nowMillis) {
     WaitingQueue.WorkAhead ahead = queue.workAhead(attempt.lane(), nowMillis);
     double fairCount =
-        (ownAhead(attempt) + 1) * queue.activeWeight() / attempt.organisation().weight();
+        (aheadInOrganisation(attempt) + 1) * queue.activeWeight() / attempt.organisation().weight();
     double share = Math.min(1, Math.max(1, fairCount) / Math.max(1, ahead.count()));
     double slotRate = 0;
-    double readRate = 0;
-    double readQueue = Double.POSITIVE_INFINITY;
+    double prefillRate = 0;
+    double shortestPrefillQueue = Double.POSITIVE_INFINITY;
     for (UpstreamState upstream : upstreams.all()) {
       if (!upstream.isUsable(nowMillis)) {
         continue;
       }
       if (upstream.role() == UpstreamRole.PREFILL) {
-        readRate += upstream.prefillTokensPerMilli();
-        readQueue = Math.min(readQueue, upstream.queueMillis(nowMillis));
+        prefillRate += upstream.prefillTokensPerMilli();
+        shortestPrefillQueue = Math.min(shortestPrefillQueue, upstream.queueMillis(nowMillis));
       } else {
         slotRate += upstream.requestsPerMilli(estimates.heldTokens(), estimates.holdMillis());
       }
@@ -102,22 +103,22 @@
             ahead.count() * share,
             slotRate,
             ahead.urgentGrantsPerMilli());
-    if (attempt.missing() != MissingResource.PREFILL_CAPACITY || readRate <= 0) {
+    if (attempt.missing() != MissingResource.PREFILL_CAPACITY || prefillRate <= 0) {
       return slotWait;
     }
     double others = Math.max(0, ahead.tokens() * share - attempt.request().promptTokens());
-    double readWait =
-        waitFor(ahead.urgentTokens(), others, readRate, ahead.urgentPrefillTokensPerMilli());
-    return Math.max(slotWait, readQueue + readWait);
+    double prefillWait =
+        waitFor(ahead.urgentTokens(), others, prefillRate, ahead.urgentPrefillTokensPerMilli());
+    return Math.max(slotWait, shortestPrefillQueue + prefillWait);
   }
 
   private static double waitFor(double urgent, double lane, double capacity, double takenByUrgent) {
-    double left = Math.max(capacity * LEAST_LEFT_SHARE, capacity - takenByUrgent);
+    double remaining = Math.max(capacity * MINIMUM_CAPACITY_SHARE, capacity - takenByUrgent);
     double spare = Math.min(0, urgent);
-    return Math.max(0, urgent) / capacity + Math.max(0, lane + spare) / left;
+    return Math.max(0, urgent) / capacity + Math.max(0, lane + spare) / remaining;
   }
 
-  private static int ownAhead(WaitingAttempt attempt) {
+  private static int aheadInOrganisation(WaitingAttempt attempt) {
     return attempt.organisation().lane(attempt.lane()).attempts().size() - 1;
   }
 }
