--- a/core/src/main/java/org/marjoramsail/core/placement/OrganisationState.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/OrganisationState.java
@@ -10,7 +10,7 @@
  */
 final class OrganisationState {
 
-  private static final double DEMAND_FLOOR = 0.1;
+  private static final double MINIMUM_DEMAND = 0.1;
   private static final double MILLIS_PER_SECOND = 1_000;
   private static final double RATE_WINDOW_MILLIS = 10_000;
 
@@ -104,8 +104,8 @@
    * @param fleetShare which part of a rate the daemons may spend that see each other
    */
   void share(int elsewhere, int shardCount, double fleetShare) {
-    double own = demand() + DEMAND_FLOOR;
-    double share = own / (own + elsewhere + (shardCount - 1) * DEMAND_FLOOR);
+    double own = demand() + MINIMUM_DEMAND;
+    double share = own / (own + elsewhere + (shardCount - 1) * MINIMUM_DEMAND);
     concurrencyShare = Math.max(1, (int) Math.floor(maximumConcurrency * share + 1e-9));
     requests.limit(requestsPerSecond * fleetShare, burst * fleetShare);
     tokens.limit(tokensPerSecond * fleetShare, burst * fleetShare);
@@ -123,7 +123,7 @@
   }
 
   /** Counts what an owner has started that was not heard of before, at most a burst of it. */
-  void startedByUnknown(long requestCount, long tokenCount, long nowMillis) {
+  void startedByNewOwner(long requestCount, long tokenCount, long nowMillis) {
     requests.take(Math.min((double) requestCount, requests.burst()), nowMillis);
     tokens.take(Math.min((double) tokenCount, tokens.burst()), nowMillis);
   }
@@ -139,7 +139,7 @@
   }
 
   /** Whether so much of a rate is used that other shards have to hear of each start soon. */
-  boolean isPressed(long nowMillis) {
+  boolean isNearRateLimit(long nowMillis) {
     return requests.isHalfUsed(nowMillis) || tokens.isHalfUsed(nowMillis);
   }
 
@@ -200,7 +200,7 @@
   }
 
   /** Counts an attempt that another owner started: its rates were charged there. */
-  void adopted() {
+  void restored() {
     running++;
   }
 
@@ -216,9 +216,9 @@
   }
 
   private void decay(long nowMillis) {
-    double kept = Math.exp(-Math.max(0, nowMillis - recentAt) / RATE_WINDOW_MILLIS);
-    recentRequests *= kept;
-    recentTokens *= kept;
+    double decayFactor = Math.exp(-Math.max(0, nowMillis - recentAt) / RATE_WINDOW_MILLIS);
+    recentRequests *= decayFactor;
+    recentTokens *= decayFactor;
     recentAt = nowMillis;
   }
 
--- a/core/src/main/java/org/marjoramsail/core/placement/OrganisationTable.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/OrganisationTable.java
@@ -15,23 +15,23 @@
 final class OrganisationTable {
 
   /** Demand of another shard counts for that long after it was told. */
-  private static final long USAGE_MILLIS = 5_000;
+  private static final long DEMAND_VALIDITY_MILLIS = 5_000;
 
   /** How often usage is told while every organisation is well below its rates. */
-  private static final long QUIET_MILLIS = 1_000;
+  private static final long REGULAR_INTERVAL_MILLIS = 1_000;
 
   /** An owner that was not heard of for so long is gone; it told something every second. */
-  private static final long FORGET_MILLIS = 60_000;
+  private static final long OWNER_EXPIRY_MILLIS = 60_000;
 
   private final ShardId shard;
   private final Optional<Long> takenOverAt;
   private final long epoch;
   private final Map<String, OrganisationState> byName = new TreeMap<>();
-  private final Map<OwnerKey, HeardUsage> others = new HashMap<>();
+  private final Map<OwnerKey, ReceivedUsage> otherOwners = new HashMap<>();
   private Map<String, OrganisationDefinition> definitions = Map.of();
   private int shardCount = 1;
   private double fleetShare = 1;
-  private long toldAt;
+  private long sentAt;
 
   /**
    * Creates the table of a new owner.
@@ -43,7 +43,7 @@
     this.shard = shard;
     this.takenOverAt = isTakenOver ? Optional.of(nowMillis) : Optional.empty();
     this.epoch = epoch;
-    this.toldAt = nowMillis;
+    this.sentAt = nowMillis;
   }
 
   void configure(Configuration configuration, int newShardCount) {
@@ -73,7 +73,7 @@
    */
   OrganisationUsageMessage usage(long nowMillis) {
     List<Usage> usages = new ArrayList<>();
-    boolean isDue = nowMillis - toldAt >= QUIET_MILLIS;
+    boolean isDue = nowMillis - sentAt >= REGULAR_INTERVAL_MILLIS;
     for (OrganisationState organisation : byName.values()) {
       if (organisation.isLimited()) {
         usages.add(
@@ -82,13 +82,13 @@
                 organisation.demand(),
                 organisation.startedRequests(),
                 organisation.startedTokens()));
-        isDue |= organisation.isPressed(nowMillis);
+        isDue |= organisation.isNearRateLimit(nowMillis);
       }
     }
     if (!isDue) {
       return new OrganisationUsageMessage(shard, epoch, List.of());
     }
-    toldAt = nowMillis;
+    sentAt = nowMillis;
     return new OrganisationUsageMessage(shard, epoch, usages);
   }
 
@@ -98,35 +98,38 @@
    * <p>A shard may have two owners for a while, each of which tells its own counts. Of one that was
    * not heard of before, no more than a burst is counted: what it started long ago is over.
    */
-  void take(OrganisationUsageMessage message, long nowMillis) {
+  void receive(OrganisationUsageMessage message, long nowMillis) {
     if (message.shard().equals(shard)) {
       return;
     }
     OwnerKey owner = new OwnerKey(message.shard(), message.epoch());
-    HeardUsage before = others.get(owner);
-    Map<String, Usage> known = before == null ? new HashMap<>() : before.byOrganisation();
+    ReceivedUsage earlier = otherOwners.get(owner);
+    Map<String, Usage> usageByOrganisation =
+        earlier == null ? new HashMap<>() : earlier.byOrganisation();
     for (Usage usage : message.usages()) {
-      Usage told = known.put(usage.organisation(), usage);
+      Usage previous = usageByOrganisation.put(usage.organisation(), usage);
       OrganisationState organisation = of(usage.organisation());
-      if (told == null) {
-        organisation.startedByUnknown(usage.startedRequests(), usage.startedTokens(), nowMillis);
+      if (previous == null) {
+        organisation.startedByNewOwner(usage.startedRequests(), usage.startedTokens(), nowMillis);
       } else {
         organisation.startedElsewhere(
-            Math.max(0, usage.startedRequests() - told.startedRequests()),
-            Math.max(0, usage.startedTokens() - told.startedTokens()),
+            Math.max(0, usage.startedRequests() - previous.startedRequests()),
+            Math.max(0, usage.startedTokens() - previous.startedTokens()),
             nowMillis);
       }
     }
-    others.put(owner, new HeardUsage(known, nowMillis));
+    otherOwners.put(owner, new ReceivedUsage(usageByOrganisation, nowMillis));
   }
 
   /** Works out the shares again, and forgets organisations without demand or limits. */
   void refresh(long nowMillis) {
-    others.values().removeIf(heard -> nowMillis - heard.atMillis() > FORGET_MILLIS);
+    otherOwners
+        .values()
+        .removeIf(received -> nowMillis - received.atMillis() > OWNER_EXPIRY_MILLIS);
     Map<String, Integer> demand = new HashMap<>();
-    for (HeardUsage heard : others.values()) {
-      if (nowMillis - heard.atMillis() <= USAGE_MILLIS) {
-        heard
+    for (ReceivedUsage received : otherOwners.values()) {
+      if (nowMillis - received.atMillis() <= DEMAND_VALIDITY_MILLIS) {
+        received
             .byOrganisation()
             .values()
             .forEach(usage -> demand.merge(usage.organisation(), usage.demand(), Integer::sum));
@@ -151,5 +154,5 @@
 
   private record OwnerKey(ShardId shard, long epoch) {}
 
-  private record HeardUsage(Map<String, Usage> byOrganisation, long atMillis) {}
+  private record ReceivedUsage(Map<String, Usage> byOrganisation, long atMillis) {}
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -261,8 +261,8 @@
   }
 
   @Override
-  public void takeUsage(OrganisationUsageMessage message, long nowMillis) {
-    organisations.take(message, nowMillis);
+  public void receiveUsage(OrganisationUsageMessage message, long nowMillis) {
+    organisations.receive(message, nowMillis);
   }
 
   @Override
--- a/core/src/main/java/org/marjoramsail/core/placement/SlotReservations.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/SlotReservations.java
@@ -133,7 +133,7 @@
       prefill.ifPresent(upstream -> upstream.startTransfer(attempt.transferBytes()));
       target.ifPresent(upstream -> upstream.startTransfer(attempt.transferBytes()));
     }
-    organisation.adopted();
+    organisation.restored();
     running.put(request.request(), attempt);
   }
 
--- a/core/src/main/java/org/marjoramsail/core/placement/UsageSharing.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UsageSharing.java
@@ -7,7 +7,7 @@
   OrganisationUsageMessage usage(long nowMillis);
 
   /** Handles what the owner of another shard told of its usage. */
-  void takeUsage(OrganisationUsageMessage message, long nowMillis);
+  void receiveUsage(OrganisationUsageMessage message, long nowMillis);
 
   /** Sets which part of the daemons this owner sees; the others may decide for the same shards. */
   void fleetShare(double share, long nowMillis);
--- a/core/src/test/java/org/marjoramsail/core/placement/OrganisationRateTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/OrganisationRateTest.java
@@ -108,7 +108,7 @@
     for (long now = 1_000; now < 20_000; now += 1_000) {
       for (ReservingPlacer owner : List.of(before, after)) {
         owner.tick(now);
-        other.takeUsage(owner.usage(now), now);
+        other.receiveUsage(owner.usage(now), now);
       }
     }
 
@@ -227,7 +227,7 @@
   private static void share(List<ReservingPlacer> owners, long now) {
     List<OrganisationUsageMessage> usages = owners.stream().map(owner -> owner.usage(now)).toList();
     for (ReservingPlacer owner : owners) {
-      usages.forEach(usage -> owner.takeUsage(usage, now));
+      usages.forEach(usage -> owner.receiveUsage(usage, now));
     }
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/DistributedPlacement.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/DistributedPlacement.java
@@ -284,7 +284,7 @@
 
   /** Handles what the owner of another shard told. */
   public void heardUsage(OrganisationUsageMessage usage) {
-    informSharing((sharing, now) -> sharing.takeUsage(usage, now));
+    informSharing((sharing, now) -> sharing.receiveUsage(usage, now));
   }
 
   private void informSharing(ObjLongConsumer<UsageSharing> fact) {
