--- a/core/src/main/java/org/marjoramsail/core/placement/AcceptedFeedback.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/AcceptedFeedback.java
@@ -10,12 +10,12 @@
  * @param upstream which
  * @param requestsPerSecond the limit that it named; empty once there is none any more
  * @param leaving whether it has said that it leaves
- * @param heardFrom the host that got the answer
+ * @param reportedBy the host that got the answer
  * @param ageMillis how old the answer was when the owner heard of it
  */
 public record AcceptedFeedback(
     UpstreamName upstream,
     Optional<Double> requestsPerSecond,
     boolean leaving,
-    DaemonId heardFrom,
+    DaemonId reportedBy,
     long ageMillis) {}
--- a/core/src/main/java/org/marjoramsail/core/placement/OwnerFeedback.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/OwnerFeedback.java
@@ -9,18 +9,18 @@
 final class OwnerFeedback {
 
   private final ShardUpstreams upstreams;
-  private final List<AcceptedFeedback> beliefs = new ArrayList<>(0);
+  private final List<AcceptedFeedback> accepted = new ArrayList<>(0);
 
   OwnerFeedback(ShardUpstreams upstreams) {
     this.upstreams = upstreams;
   }
 
   /** Handles what an upstream said of itself to a host. */
-  void acceptFeedback(RelayedFeedback condition, DaemonId from, long nowMillis) {
+  void acceptFeedback(RelayedFeedback feedback, DaemonId from, long nowMillis) {
     upstreams
-        .find(condition.upstream())
-        .filter(upstream -> upstream.acceptFeedback(condition, nowMillis))
-        .ifPresent(upstream -> believe(upstream, from, condition.ageMillis()));
+        .find(feedback.upstream())
+        .filter(upstream -> upstream.acceptFeedback(feedback, nowMillis))
+        .ifPresent(upstream -> recordAccepted(upstream, from, feedback.ageMillis()));
   }
 
   /**
@@ -29,30 +29,30 @@
    * <p>A host tells with each report what upstreams said to it last; one of which it tells no limit
    * has named none in its answer.
    */
-  void reported(RunningAttempt attempt, AttemptReport report, long nowMillis) {
+  void attemptReported(RunningAttempt attempt, AttemptReport report, long nowMillis) {
     if (attempt.phase() == AttemptPhase.PREFILLING && report.phase() == AttemptPhase.PREFILLED) {
-      attempt.prefill().ifPresent(reader -> endLimit(reader, attempt, nowMillis));
+      attempt.prefill().ifPresent(prefill -> clearLimit(prefill, attempt, nowMillis));
     }
     if (report.result().filter(result -> result == AttemptResult.COMPLETED).isPresent()) {
-      attempt.target().ifPresent(target -> endLimit(target, attempt, nowMillis));
+      attempt.target().ifPresent(target -> clearLimit(target, attempt, nowMillis));
     }
   }
 
   /** What has come to be believed since this was last asked. */
-  List<AcceptedFeedback> take() {
-    List<AcceptedFeedback> taken = List.copyOf(beliefs);
-    beliefs.clear();
+  List<AcceptedFeedback> takeAccepted() {
+    List<AcceptedFeedback> taken = List.copyOf(accepted);
+    accepted.clear();
     return taken;
   }
 
-  private void endLimit(UpstreamState upstream, RunningAttempt attempt, long nowMillis) {
+  private void clearLimit(UpstreamState upstream, RunningAttempt attempt, long nowMillis) {
     if (upstream.limit().limitAbsent(attempt.startedAt(), nowMillis)) {
-      believe(upstream, attempt.request().entry(), 0);
+      recordAccepted(upstream, attempt.request().entry(), 0);
     }
   }
 
-  private void believe(UpstreamState upstream, DaemonId from, long ageMillis) {
-    beliefs.add(
+  private void recordAccepted(UpstreamState upstream, DaemonId from, long ageMillis) {
+    accepted.add(
         new AcceptedFeedback(
             upstream.name(),
             upstream.limit().perSecond(),
--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -46,7 +46,7 @@
   private final ShardId shard;
   private final PlacementSettings settings;
   private final ShardUpstreams upstreams;
-  private final OwnerFeedback conditions;
+  private final OwnerFeedback ownerFeedback;
   private final OrganisationTable organisations;
   private final PlacementEstimates estimates;
   private final UpstreamSelector selector;
@@ -70,7 +70,7 @@
         new OrganisationTable(shard, setup.random().nextLong(), setup.isTakenOver(), nowMillis);
     this.estimates = new PlacementEstimates(settings);
     this.upstreams = new ShardUpstreams(settings, estimates.outputLengths());
-    this.conditions = new OwnerFeedback(upstreams);
+    this.ownerFeedback = new OwnerFeedback(upstreams);
     this.selector = new UpstreamSelector(upstreams, estimates, setup, nowMillis);
     this.reservations = new SlotReservations(upstreams, estimates);
     this.waits = new WaitEstimator(upstreams, queue, estimates, selector);
@@ -149,7 +149,7 @@
     }
     RunningAttempt attempt = found.get();
     upstreams.messageReceived(attempt.request().entry(), nowMillis);
-    conditions.reported(attempt, report, nowMillis);
+    ownerFeedback.attemptReported(attempt, report, nowMillis);
     if (report.phase() == AttemptPhase.ENDED) {
       end(attempt, report, nowMillis);
     } else {
@@ -172,14 +172,14 @@
 
   @Override
   public List<PlacementResult> acceptFeedback(
-      RelayedFeedback condition, DaemonId from, long nowMillis) {
-    conditions.acceptFeedback(condition, from, nowMillis);
+      RelayedFeedback feedback, DaemonId from, long nowMillis) {
+    ownerFeedback.acceptFeedback(feedback, from, nowMillis);
     return dispatch(nowMillis);
   }
 
   @Override
   public List<AcceptedFeedback> takeAcceptedFeedback() {
-    return conditions.take();
+    return ownerFeedback.takeAccepted();
   }
 
   @Override
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShards.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShards.java
@@ -148,7 +148,7 @@
           .addKeyValue("upstream", belief.upstream())
           .addKeyValue("requestsPerSecond", belief.requestsPerSecond().orElse(null))
           .addKeyValue("leaving", belief.leaving())
-          .addKeyValue("heardFrom", belief.heardFrom())
+          .addKeyValue("heardFrom", belief.reportedBy())
           .addKeyValue("ageMillis", belief.ageMillis())
           .log("owner believes what an upstream said of itself");
     }
