--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -28,10 +28,10 @@
 public final class ReservingPlacer implements Placer, CacheObserver, UsageSharing {
 
   /** Attempts with closed upstreams that are tried in one lane before the next lane. */
-  private static final int RESTRICTED_TRIED = 8;
+  private static final int MAXIMUM_RESTRICTED_TRIED = 8;
 
   /** For how many waiting attempts a view says what they lack now rather than when last tried. */
-  private static final int DIAGNOSED_IN_VIEW = 100;
+  private static final int MAXIMUM_DIAGNOSED = 100;
 
   /** Tokens that one plain request counts for between organisations. */
   private static final double PLAIN_COST_TOKENS = 100;
@@ -41,7 +41,7 @@
 
   private static final long SHARE_REFRESH_MILLIS = 500;
 
-  private static final long LEAST_RETRY_MILLIS = 1_000;
+  private static final long MINIMUM_RETRY_MILLIS = 1_000;
 
   private final ShardId shard;
   private final PlacementSettings settings;
@@ -51,7 +51,7 @@
   private final PlacementEstimates estimates;
   private final UpstreamSelector selector;
   private final SlotReservations reservations;
-  private final WaitEstimator waits;
+  private final WaitEstimator waitEstimator;
   private final RoleAdvisor roles;
   private final WaitingQueue queue = new WaitingQueue();
   private final Map<RequestId, WaitingAttempt> waiting = new HashMap<>();
@@ -73,14 +73,14 @@
     this.ownerFeedback = new OwnerFeedback(upstreams);
     this.selector = new UpstreamSelector(upstreams, estimates, setup, nowMillis);
     this.reservations = new SlotReservations(upstreams, estimates);
-    this.waits = new WaitEstimator(upstreams, queue, estimates, selector);
+    this.waitEstimator = new WaitEstimator(upstreams, queue, estimates, selector);
     this.roles = new RoleAdvisor(upstreams, estimates, settings);
-    define(setup.configuration(), nowMillis);
+    applyConfiguration(setup.configuration(), nowMillis);
   }
 
   @Override
   public List<PlacementResult> configure(Configuration configuration, long nowMillis) {
-    define(configuration, nowMillis);
+    applyConfiguration(configuration, nowMillis);
     organisations.refresh(nowMillis);
     return dispatch(nowMillis);
   }
@@ -89,18 +89,18 @@
   public List<PlacementResult> place(PlacementRequest request, long nowMillis) {
     Optional<RunningAttempt> running = reservations.find(request.request());
     if (running.isPresent() && running.get().request().attempt() == request.attempt()) {
-      // The entry repeats what it has not heard of: its grant was lost on the way.
+      // The entry repeats what it has not heard of: its grant was affected on the way.
       count(PlacementCounter.GRANT_REPEATED);
       return List.of(new PlacementResult.Granted(request.entry(), running.get().grant()));
     }
     WaitingAttempt queued = waiting.get(request.request());
     boolean isQueued = queued != null && queued.request().attempt() >= request.attempt();
-    boolean isOld = running.filter(it -> it.request().attempt() > request.attempt()).isPresent();
-    if (isQueued || isOld || tombstones.isObsolete(request, nowMillis)) {
+    boolean isOlder = running.filter(it -> it.request().attempt() > request.attempt()).isPresent();
+    if (isQueued || isOlder || tombstones.isObsolete(request, nowMillis)) {
       count(PlacementCounter.LATE_PLACE_DROPPED);
       return List.of();
     }
-    forget(request.request(), nowMillis);
+    discard(request.request(), nowMillis);
     double leastMillis = selector.minimumMillis(request, nowMillis);
     Optional<Refusal> refusal = refusalAtArrival(request, leastMillis);
     if (refusal.isPresent()) {
@@ -110,8 +110,8 @@
     List<PlacementResult> results = dispatch(nowMillis);
     if (waiting.get(request.request()) == attempt) {
       diagnose(attempt, nowMillis);
-      Optional<Refusal> hopeless = waits.refusal(attempt, nowMillis);
-      hopeless.ifPresent(reason -> results.add(refuseForNow(attempt, reason, nowMillis)));
+      Optional<Refusal> predicted = waitEstimator.refusal(attempt, nowMillis);
+      predicted.ifPresent(reason -> results.add(refuseWithRetry(attempt, reason, nowMillis)));
     }
     return results;
   }
@@ -129,7 +129,7 @@
       count(PlacementCounter.LATE_RESTORE_DROPPED);
       return List.of();
     }
-    forget(request.request(), nowMillis);
+    discard(request.request(), nowMillis);
     OrganisationState organisation = organisations.of(request.organisation());
     long bytes = selector.transferBytes(request);
     reservations.restore(request, grant, phase, organisation, bytes, nowMillis);
@@ -160,7 +160,7 @@
 
   @Override
   public List<PlacementResult> withdraw(RequestId request, long nowMillis) {
-    forget(request, nowMillis);
+    discard(request, nowMillis);
     return dispatch(nowMillis);
   }
 
@@ -198,14 +198,14 @@
   public List<PlacementResult> daemonFailed(DaemonId daemon, long nowMillis) {
     tombstones.daemonFailed(daemon, nowMillis);
     upstreams.daemonFailed(daemon);
-    List<RequestId> lost = new ArrayList<>();
-    reservations.attemptsOf(daemon).forEach(attempt -> lost.add(attempt.request().request()));
+    List<RequestId> affected = new ArrayList<>();
+    reservations.attemptsOf(daemon).forEach(attempt -> affected.add(attempt.request().request()));
     waiting.values().stream()
         .filter(
             attempt ->
                 SlotReservations.isSameOrEarlierIncarnation(attempt.request().entry(), daemon))
-        .forEach(attempt -> lost.add(attempt.request().request()));
-    lost.forEach(request -> forget(request, nowMillis));
+        .forEach(attempt -> affected.add(attempt.request().request()));
+    affected.forEach(request -> discard(request, nowMillis));
     return dispatch(nowMillis);
   }
 
@@ -281,8 +281,8 @@
   public double load(long nowMillis) {
     int slots = 0;
     for (UpstreamState upstream : upstreams.all()) {
-      boolean isEnding = upstream.role() != UpstreamRole.PREFILL;
-      slots += isEnding && upstream.isUsable(nowMillis) ? upstream.slots() : 0;
+      boolean isTarget = upstream.role() != UpstreamRole.PREFILL;
+      slots += isTarget && upstream.isUsable(nowMillis) ? upstream.slots() : 0;
     }
     return (reservations.size() + waiting.size()) / (double) Math.max(1, slots);
   }
@@ -294,16 +294,16 @@
         Comparator.comparingInt(WaitingAttempt::lane)
             .thenComparingDouble(it -> it.organisation().lane(it.lane()).startTag())
             .thenComparing(WaitingQueue.BY_ORDER));
-    inOrder.stream().limit(DIAGNOSED_IN_VIEW).forEach(it -> diagnose(it, nowMillis));
+    inOrder.stream().limit(MAXIMUM_DIAGNOSED).forEach(it -> diagnose(it, nowMillis));
     return PlacementViews.view(
-        shard, upstreams, reservations, inOrder, organisations, waits, nowMillis);
+        shard, upstreams, reservations, inOrder, organisations, waitEstimator, nowMillis);
   }
 
   /** An upstream that has started again runs nothing of what its earlier life ran. */
-  private void define(Configuration configuration, long nowMillis) {
+  private void applyConfiguration(Configuration configuration, long nowMillis) {
     ShardMap map = new ShardMap(configuration, settings.shardUpstreams());
-    for (UpstreamName again : upstreams.define(map.upstreamsOf(shard), nowMillis)) {
-      reservations.generatingOn(again).forEach(over -> forget(over, nowMillis));
+    for (UpstreamName restarted : upstreams.define(map.upstreamsOf(shard), nowMillis)) {
+      reservations.generatingOn(restarted).forEach(request -> discard(request, nowMillis));
     }
     organisations.configure(configuration, map.shards().size());
     long kvBytesPerToken =
@@ -321,14 +321,14 @@
   }
 
   private Optional<Refusal> refusalAtArrival(PlacementRequest request, double leastMillis) {
-    int most = settings.maximumWaiting();
-    int allowed = most - most * request.serviceClass().rank() / (2 * ServiceClass.values().length);
+    int limit = settings.maximumWaiting();
+    int allowed = limit - limit * request.serviceClass().rank() / (2 * ServiceClass.values().length);
     if (waiting.size() >= allowed) {
       String detail = "The queue of " + shard + " holds " + waiting.size() + " of " + allowed + ".";
-      return Optional.of(Refusal.notRun(RefusalReason.QUEUE_FULL, detail, LEAST_RETRY_MILLIS));
+      return Optional.of(Refusal.notRun(RefusalReason.QUEUE_FULL, detail, MINIMUM_RETRY_MILLIS));
     }
     UpstreamRole role = request.isGeneration() ? UpstreamRole.DECODE : UpstreamRole.PLAIN;
-    boolean isAnyLeft =
+    boolean isAnyCandidate =
         upstreams.all().stream()
             .anyMatch(
                 upstream ->
@@ -336,12 +336,12 @@
                         && !upstream.isAnnouncedLeaving()
                         && upstream.role() == role
                         && !request.avoid().contains(upstream.name()));
-    if (!isAnyLeft) {
+    if (!isAnyCandidate) {
       String detail = "No upstream of " + shard + " is left for attempt " + request.attempt() + ".";
-      return Optional.of(Refusal.notRun(RefusalReason.NO_UPSTREAM, detail, LEAST_RETRY_MILLIS));
+      return Optional.of(Refusal.notRun(RefusalReason.NO_UPSTREAM, detail, MINIMUM_RETRY_MILLIS));
     }
     // Estimates that went wrong once would refuse everything and so never be corrected: while
-    // nothing else runs or waits, a request is tried in spite of them.
+    // nothing else runs or waitEstimator, a request is tried in spite of them.
     boolean isIdle = waiting.isEmpty() && reservations.size() == 0;
     if (WaitingAttempt.usefulWithinMillis(request) < leastMillis && !isIdle) {
       String detail =
@@ -384,9 +384,9 @@
    */
   private long serviceMillis(PlacementRequest request, double leastMillis) {
     double targetWithin = Math.max(0, WaitingAttempt.targetWithinMillis(request));
-    boolean isKnown = !request.isGeneration() && estimates.hasEnoughSamples();
-    double answering = isKnown ? Math.min(estimates.holdMillis(), targetWithin / 2) : 0;
-    return (long) Math.min(Math.max(leastMillis, answering), targetWithin);
+    boolean isLearned = !request.isGeneration() && estimates.hasEnoughSamples();
+    double expectedMillis = isLearned ? Math.min(estimates.holdMillis(), targetWithin / 2) : 0;
+    return (long) Math.min(Math.max(leastMillis, expectedMillis), targetWithin);
   }
 
   private void handleDue(WaitingAttempt attempt, List<PlacementResult> results, long nowMillis) {
@@ -398,27 +398,27 @@
     diagnose(attempt, nowMillis);
     // What is beyond a limit is told at once: it would wait for credit that newer requests take.
     if (attempt.canWaitPastTarget() && attempt.missing() != MissingResource.ORGANISATION_RATE) {
-      waitLate(attempt, results, nowMillis);
+      continueLate(attempt, results, nowMillis);
       return;
     }
     String detail = "It waited for " + attempt.missing().code() + " until it was too late.";
     results.add(
-        refuseForNow(
+        refuseWithRetry(
             attempt,
-            Refusal.notRun(attempt.missing().reason(), detail, LEAST_RETRY_MILLIS),
+            Refusal.notRun(attempt.missing().reason(), detail, MINIMUM_RETRY_MILLIS),
             nowMillis));
   }
 
   /** Goes on for a late answer, unless even that is out of reach: then the caller is told now. */
-  private void waitLate(WaitingAttempt attempt, List<PlacementResult> results, long nowMillis) {
+  private void continueLate(WaitingAttempt attempt, List<PlacementResult> results, long nowMillis) {
     queue.demote(attempt);
     count(PlacementCounter.WAITING_LATE);
-    waits
+    waitEstimator
         .refusal(attempt, nowMillis)
-        .ifPresent(hopeless -> results.add(refuseForNow(attempt, hopeless, nowMillis)));
+        .ifPresent(predicted -> results.add(refuseWithRetry(attempt, predicted, nowMillis)));
   }
 
-  private PlacementResult refuseForNow(WaitingAttempt attempt, Refusal refusal, long nowMillis) {
+  private PlacementResult refuseWithRetry(WaitingAttempt attempt, Refusal refusal, long nowMillis) {
     retryingCallers.recordRefusal(attempt.request().contentHash(), nowMillis);
     return refuse(attempt, refusal);
   }
@@ -433,8 +433,8 @@
   private void dispatch(List<PlacementResult> results, long nowMillis) {
     boolean isProgressing = !waiting.isEmpty();
     while (isProgressing) {
-      Optional<Granting> next = findNext(nowMillis);
-      next.ifPresent(granting -> results.add(grant(granting, nowMillis)));
+      Optional<PendingGrant> next = findNext(nowMillis);
+      next.ifPresent(pending -> results.add(grant(pending, nowMillis)));
       isProgressing = next.isPresent() && !waiting.isEmpty();
     }
   }
@@ -442,33 +442,33 @@
   /**
    * Finds the next attempt that fits; lanes whose resource is used up are not looked at.
    *
-   * <p>Nor are lanes behind a more urgent one that waits for tombstones: at the peak of a burst
-   * small requests that were late already took each piece of tombstones that came free, and those
-   * that could still have been in time waited behind them until they were late as well.
+   * <p>Nor are lanes behind a more urgent one that waitEstimator for tombstones: at the peak of a
+   * burst small requests that were late already took each piece of tombstones that came free, and
+   * those that could still have been in time waited behind them until they were late as well.
    */
-  private Optional<Granting> findNext(long nowMillis) {
+  private Optional<PendingGrant> findNext(long nowMillis) {
     if (selector.freeSlots(ServiceClass.QUICK, nowMillis) <= 0) {
       return Optional.empty();
     }
-    boolean isReaderOpen = selector.hasPrefillCapacity(nowMillis);
-    int lastServed = WaitingQueue.LANES;
+    boolean isPrefillAvailable = selector.hasPrefillCapacity(nowMillis);
+    int lastServedLane = WaitingQueue.LANES;
     for (WaitingQueue.Lane lane : queue.lanesInOrder()) {
-      if (lane.index() > lastServed || (lane.needsPrefillUpstream() && !isReaderOpen)) {
+      if (lane.index() > lastServedLane || (lane.needsPrefillUpstream() && !isPrefillAvailable)) {
         continue;
       }
-      Optional<Granting> found = findInLane(lane.organisations(), nowMillis);
+      Optional<PendingGrant> found = findInLane(lane.organisations(), nowMillis);
       if (found.isPresent()) {
         return found;
       }
       if (lane.isHeadWaitingForSlot(nowMillis)) {
-        lastServed = Math.min(lastServed, lane.index());
+        lastServedLane = Math.min(lastServedLane, lane.index());
       }
     }
     return Optional.empty();
   }
 
   /** All attempts of a lane need the same; only one that may not go everywhere leaves a chance. */
-  private Optional<Granting> findInLane(Collection<OrganisationLane> lane, long nowMillis) {
+  private Optional<PendingGrant> findInLane(Collection<OrganisationLane> lane, long nowMillis) {
     int tried = 0;
     for (OrganisationLane organisationLane : lane) {
       if (organisationLane.organisation().missing(nowMillis).isPresent()) {
@@ -477,9 +477,9 @@
       for (WaitingAttempt attempt : organisationLane.attempts()) {
         Optional<PlacementCandidate> choice = selector.select(attempt, nowMillis);
         if (choice.isPresent()) {
-          return Optional.of(new Granting(attempt, choice.get()));
+          return Optional.of(new PendingGrant(attempt, choice.get()));
         }
-        if (!attempt.isRestricted() || ++tried >= RESTRICTED_TRIED) {
+        if (!attempt.isRestricted() || ++tried >= MAXIMUM_RESTRICTED_TRIED) {
           return Optional.empty();
         }
       }
@@ -497,21 +497,21 @@
     }
   }
 
-  private PlacementResult grant(Granting granting, long nowMillis) {
-    WaitingAttempt attempt = granting.attempt();
+  private PlacementResult grant(PendingGrant pending, long nowMillis) {
+    WaitingAttempt attempt = pending.attempt();
     PlacementRequest request = attempt.request();
     waiting.remove(request.request());
-    int readTokens =
-        granting.choice().prefill().isPresent() ? granting.choice().uncachedTokens() : 0;
-    queue.granted(attempt, cost(request, granting.choice()), readTokens, nowMillis);
+    int prefillTokens =
+        pending.choice().prefill().isPresent() ? pending.choice().uncachedTokens() : 0;
+    queue.granted(attempt, cost(request, pending.choice()), prefillTokens, nowMillis);
     count(PlacementCounter.GRANTED);
-    if (granting.choice().mode() == GrantMode.LOCAL_PREFILL) {
+    if (pending.choice().mode() == GrantMode.LOCAL_PREFILL) {
       count(PlacementCounter.GRANTED_LOCAL_PREFILL);
     }
-    if (granting.choice().mode().isTransferring() && !granting.choice().isPrefillNeeded()) {
+    if (pending.choice().mode().isTransferring() && !pending.choice().isPrefillNeeded()) {
       count(PlacementCounter.GRANTED_FOR_LIVE_KV);
     }
-    Grant grant = reservations.grant(attempt, granting.choice(), nowMillis);
+    Grant grant = reservations.grant(attempt, pending.choice(), nowMillis);
     return new PlacementResult.Granted(request.entry(), grant);
   }
 
@@ -555,7 +555,7 @@
   }
 
   /** Drops all attempts of a request, and lets no late message bring them back. */
-  private void forget(RequestId request, long nowMillis) {
+  private void discard(RequestId request, long nowMillis) {
     WaitingAttempt queued = waiting.remove(request);
     if (queued != null) {
       queue.remove(queued);
@@ -584,5 +584,5 @@
     counters.merge(counter, 1L, Long::sum);
   }
 
-  private record Granting(WaitingAttempt attempt, PlacementCandidate choice) {}
+  private record PendingGrant(WaitingAttempt attempt, PlacementCandidate choice) {}
 }
