--- a/core/src/test/java/org/marjoramsail/core/placement/LateBehindTimelyTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/LateBehindTimelyTest.java
@@ -23,7 +23,7 @@
   private final ReservingPlacer placer = PlacementFixtures.placer(poolWithMemory(1, 1, 16, 10_000));
 
   @Test
-  void whatIsLateDoesNotTakeTheMemoryThatWhatIsInTimeWaitsFor() {
+  void lateRequestsDoNotTakeTheMemoryThatRequestsWithinTheirTargetWaitFor() {
     place("long", 4_000, 0);
     place("also-long", 4_000, 0);
     place("short", 1_500, 0);
--- a/core/src/test/java/org/marjoramsail/core/placement/OrganisationRateTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/OrganisationRateTest.java
@@ -29,9 +29,9 @@
   private static final int[] SLICES = {1, 4, 8};
 
   /** What platforms of these sizes allow beyond a limit: a tenth, and rather more than a burst. */
-  private static final double OVERSHOOT = 1.1;
+  private static final double MAXIMUM_EXCESS_FACTOR = 1.1;
 
-  private static final double SLACK = 1.25 * BURST;
+  private static final double MAXIMUM_EXCESS_TOKENS = 1.25 * BURST;
   private static final int WINDOW_SECONDS = 8;
   private static final long STEP_MILLIS = 20;
   private static final long SHARING_MILLIS = 200;
@@ -44,7 +44,7 @@
    * used up, and all were refused seconds later, when no clerk could use the answer any more.
    */
   @Test
-  void whatIsBeyondALimitIsToldAtOnceWithTheTimeToComeBack() {
+  void requestsAboveARateLimitAreRefusedAtOnceWithARetryTime() {
     ReservingPlacer placer = placer(false);
     placer.tick(0);
     List<PlacementResult> results = new ArrayList<>();
@@ -64,7 +64,7 @@
    * share of its limit that the desk had used there of late, which was none, and refused it.
    */
   @Test
-  void requestsThatAreFarApartAreNotRefusedBelowTheLimit() {
+  void requestsFarApartAreNotRefusedBelowTheRateLimit() {
     List<ReservingPlacer> owners = List.of(placer(0, 4, true, 0), placer(1, 4, true, 0));
     List<PlacementResult> results = new ArrayList<>();
     for (int number = 0; number < 20; number++) {
@@ -95,7 +95,7 @@
    * requests of an organisation far below its limit were refused for as long as both went on.
    */
   @Test
-  void twoOwnersOfOneShardAreCountedOnceEach() {
+  void usageOfTwoOwnersOfOneShardIsCountedOnceEach() {
     ReservingPlacer before = placer(1, 4, false, 0);
     ReservingPlacer after = placer(1, 4, true, 7);
     ReservingPlacer other = placer(0, 4, false, 0);
@@ -117,12 +117,12 @@
 
   /** The same request that is placed again after a failure was counted when it was first placed. */
   @Test
-  void aRepeatIsNotCountedAgain() {
+  void aRetryIsNotChargedToATokenLimitAgain() {
     ReservingPlacer placer = placer(false);
     placer.tick(0);
     for (int number = 0; number < 100; number++) {
       PlacementRequest first = request("r" + number).tokens(REQUEST_TOKENS - 10, 10).build();
-      PlacementRequest repeat =
+      PlacementRequest retry =
           new PlacementRequest(
               first.request(),
               2,
@@ -144,16 +144,16 @@
               first.chunking(),
               0);
 
-      assertThat(granted(placer.place(repeat, 1_000 + number))).hasSize(1);
+      assertThat(granted(placer.place(retry, 1_000 + number))).hasSize(1);
     }
   }
 
   /**
-   * Upstreams failed half of what they ran, and each repeat took one from its organisation's limit
+   * Upstreams failed half of what they ran, and each retry took one from its organisation's limit
    * in requests as well: its desk was refused at half of what it may send.
    */
   @Test
-  void aRepeatTakesNothingFromALimitInRequests() {
+  void aRetryIsNotChargedToARequestLimit() {
     Configuration limited =
         pool(0, UPSTREAMS, 200, List.of(PlacementFixtures.organisation("rosario", 0, 10)));
     ReservingPlacer placer = PlacementFixtures.placer(limited);
@@ -171,26 +171,29 @@
    * of a shard granted the whole burst once more, and engines got twice the limit.
    */
   @Property(tries = 30)
-  void ownersTogetherKeepToALimitWhoeverFollowsThem(
+  void ownersAndTheirSuccessorsTogetherKeepToARateLimit(
       @ForAll long seed, @ForAll @IntRange(max = 2) int choice) {
-    Grants grants = play(seed, SLICES[choice], true);
+    Grants grants = simulate(seed, SLICES[choice], true);
 
     for (int second = WINDOW_SECONDS; second <= grants.seconds(); second++) {
       assertThat(grants.tokensOfWindow(second))
-          .isLessThanOrEqualTo((PER_SECOND * WINDOW_SECONDS + BURST) * OVERSHOOT + SLACK);
+          .isLessThanOrEqualTo(
+              (PER_SECOND * WINDOW_SECONDS + BURST) * MAXIMUM_EXCESS_FACTOR
+                  + MAXIMUM_EXCESS_TOKENS);
     }
   }
 
   /** An organisation that wants more than its limit gets nearly all of it, however it is spread. */
   @Property(tries = 30)
-  void aLimitIsUsedUpWhereMoreIsWanted(@ForAll long seed, @ForAll @IntRange(max = 2) int choice) {
-    Grants grants = play(seed, SLICES[choice], false);
+  void aRateLimitIsUsedUpWhenDemandExceedsIt(
+      @ForAll long seed, @ForAll @IntRange(max = 2) int choice) {
+    Grants grants = simulate(seed, SLICES[choice], false);
 
     assertThat(grants.tokensOfWindow(grants.seconds()))
         .isGreaterThan(0.95 * PER_SECOND * WINDOW_SECONDS);
   }
 
-  private Grants play(long seed, int shards, boolean successors) {
+  private Grants simulate(long seed, int shards, boolean successors) {
     Random random = new Random(seed);
     List<ReservingPlacer> owners = new ArrayList<>();
     for (int shard = 0; shard < shards; shard++) {
@@ -207,8 +210,8 @@
         owners.set(changed, placer(changed, shards, true, now));
       }
       // Four times the limit, more of it for the first shard than for the last.
-      int wanted = (int) (4 * PER_SECOND * STEP_MILLIS / 1_000 / REQUEST_TOKENS) + 1;
-      for (int number = 0; number < wanted; number++) {
+      int arrivals = (int) (4 * PER_SECOND * STEP_MILLIS / 1_000 / REQUEST_TOKENS) + 1;
+      for (int number = 0; number < arrivals; number++) {
         ReservingPlacer owner = owners.get(Math.min(shards - 1, random.nextInt(shards + 1)));
         List<PlacementResult> results = place(owner, "r" + sequence++, now);
         grants.count(granted(results).size(), now);
@@ -245,7 +248,7 @@
     return placer(0, 1, takenOver, 0);
   }
 
-  /** An owner of one of several shards, each of which could serve all that is wanted. */
+  /** An owner of one of several shards, each of which could serve all that is arrivals. */
   private ReservingPlacer placer(int slice, int slices, boolean takenOver, long now) {
     ShardId shard = new ShardId("lector", "litoral", slice);
     PlacementSettings settings = PlacementSettings.defaults();
--- a/core/src/test/java/org/marjoramsail/core/placement/OwnerFeedbackTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/OwnerFeedbackTest.java
@@ -22,44 +22,44 @@
 
   private static final long FIRST_START = 1_000;
   private static final long NEXT_START = 2_000;
-  private static final int WANTED = 40;
+  private static final int REQUESTS = 40;
 
   private final Configuration engines = startedAt(pool(2, 4, 16), FIRST_START);
   private final ReservingPlacer placer = PlacementFixtures.placer(engines);
 
   /** A prefill engine in need is sent prompts as seldom as it says; the other one goes on. */
   @Test
-  void aPrefillEngineThatNamesALimitReadsNoMoreThanThat() {
+  void aPrefillUpstreamWithARateLimitGetsNoMorePromptsThanThat() {
     placer.acceptFeedback(limit("prefill-0", FIRST_START, 2, 0), ENTRY, 0);
 
     List<PlacementResult> results = place(0);
 
-    assertThat(readBy(results, "prefill-0")).isLessThanOrEqualTo(2);
-    assertThat(readBy(results, "prefill-1")).isPositive();
+    assertThat(prefilledBy(results, "prefill-0")).isLessThanOrEqualTo(2);
+    assertThat(prefilledBy(results, "prefill-1")).isPositive();
   }
 
   @Test
-  void aPromptReadWithoutAWordOfALimitEndsIt() {
+  void aCompletedPrefillWithoutARateLimitEndsTheLimit() {
     placer.acceptFeedback(limit("prefill-0", FIRST_START, 2, 0), ENTRY, 0);
     place(100);
-    List<String> read = granted(place(600));
+    List<String> prefilled = granted(place(600));
     assertThat(placer.takeAcceptedFeedback()).hasSize(1);
 
-    for (String name : read) {
+    for (String name : prefilled) {
       placer.report(progress(name, 1, AttemptPhase.PREFILLED), 700);
     }
 
     assertThat(stateOf("prefill-0")).isNotEqualTo("limited");
     assertThat(placer.takeAcceptedFeedback())
         .singleElement()
-        .matches(belief -> belief.requestsPerSecond().isEmpty());
+        .matches(accepted -> accepted.requestsPerSecond().isEmpty());
   }
 
   /**
    * A host that was told long ago asks for places; others have heard since that the need is over.
    */
   @Test
-  void anOldWordOfALimitDoesNotBringItBack() {
+  void outdatedFeedbackDoesNotRestoreARateLimit() {
     placer.acceptFeedback(limit("decode-0", FIRST_START, 2, 0), ENTRY, 0);
     for (String name : granted(place(1_000))) {
       placer.report(ended(name, 1, AttemptResult.COMPLETED), 1_500);
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void whatALifeSaidOfItselfEndsWithIt() {
+  void feedbackOfAnIncarnationEndsWithIt() {
     placer.acceptFeedback(leaving("decode-0", FIRST_START), ENTRY, 0);
     placer.acceptFeedback(limit("decode-1", FIRST_START, 2, 0), ENTRY, 0);
     assertThat(stateOf("decode-0")).isEqualTo("leaving");
@@ -88,18 +88,18 @@
 
   private List<PlacementResult> place(long nowMillis) {
     List<PlacementResult> results = new ArrayList<>(placer.tick(nowMillis));
-    for (int number = 0; number < WANTED; number++) {
+    for (int number = 0; number < REQUESTS; number++) {
       results.addAll(placer.place(request(nowMillis + "-" + number).build(), nowMillis));
     }
     return results;
   }
 
-  private static long readBy(List<PlacementResult> results, String prefill) {
-    Optional<UpstreamName> reader = Optional.of(new UpstreamName(prefill));
+  private static long prefilledBy(List<PlacementResult> results, String prefill) {
+    Optional<UpstreamName> prefillUpstream = Optional.of(new UpstreamName(prefill));
     return results.stream()
         .filter(PlacementResult.Granted.class::isInstance)
         .map(PlacementResult.Granted.class::cast)
-        .filter(result -> result.grant().prefill().equals(reader))
+        .filter(result -> result.grant().prefill().equals(prefillUpstream))
         .count();
   }
 
--- a/core/src/test/java/org/marjoramsail/core/placement/PlainOverloadTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PlainOverloadTest.java
@@ -28,7 +28,7 @@
   private static final long TARGET_MILLIS = 200;
   private static final long PLACE_MILLIS = 140;
   private static final long DEADLINE_MILLIS = 1_200;
-  private static final long WILLING_MILLIS = 2_500;
+  private static final long PATIENCE_MILLIS = 2_500;
   private static final long BURST_FROM_MILLIS = 4_000;
   private static final long BURST_TO_MILLIS = 9_000;
   private static final long TICK_MILLIS = 5;
@@ -49,20 +49,20 @@
   private final VirtualEvents events = new VirtualEvents();
   private final Map<RequestId, Caller> callers = new HashMap<>();
   private Random random = new Random(0);
-  private int asked;
+  private int requests;
   private int inTime;
-  private int askedAfter;
-  private int inTimeAfter;
+  private int requestsAfterBurst;
+  private int inTimeAfterBurst;
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void mostAnswersAreInTimeAgainSoonAfterABurst(long seed) {
-    play(seed);
-    assertThat((double) inTimeAfter / askedAfter).isGreaterThan(0.8);
-    assertThat((double) inTime / asked).isGreaterThan(0.6);
+  void mostResponsesMeetTheirTargetAgainSoonAfterABurst(long seed) {
+    simulate(seed);
+    assertThat((double) inTimeAfterBurst / requestsAfterBurst).isGreaterThan(0.8);
+    assertThat((double) inTime / requests).isGreaterThan(0.6);
   }
 
-  private void play(long seed) {
+  private void simulate(long seed) {
     random = new Random(seed);
     double perMilli = SERVERS * SLOTS / WORK_MILLIS;
     double next = 0;
@@ -80,8 +80,8 @@
 
   private void arrive(Caller caller) {
     if (caller.tries() == 1) {
-      asked++;
-      askedAfter += isAfter(caller) ? 1 : 0;
+      requests++;
+      requestsAfterBurst += isAfterBurst(caller) ? 1 : 0;
     }
     RequestId id = new RequestId(caller.content() + "-" + caller.tries());
     callers.put(id, caller);
@@ -91,7 +91,7 @@
   }
 
   /** Some seconds after the burst its backlog should be gone. */
-  private static boolean isAfter(Caller caller) {
+  private static boolean isAfterBurst(Caller caller) {
     return caller.firstMillis() > BURST_TO_MILLIS + 2_000;
   }
 
@@ -99,25 +99,25 @@
     for (PlacementResult result : new ArrayList<>(results)) {
       Caller caller = callers.get(result.request());
       if (result instanceof PlacementResult.Refused refused) {
-        comeBack(caller, refused.refusal().retryAfterMillis().orElse(150L));
+        retry(caller, refused.refusal().retryAfterMillis().orElse(150L));
       } else {
         double work = WORK_MILLIS * (0.5 + random.nextDouble());
-        events.at(events.now() + (long) work + 8, () -> answered(result.request(), caller));
+        events.at(events.now() + (long) work + 8, () -> complete(result.request(), caller));
       }
     }
   }
 
-  private void answered(RequestId request, Caller caller) {
+  private void complete(RequestId request, Caller caller) {
     boolean isInTime = events.now() - caller.firstMillis() <= TARGET_MILLIS;
     inTime += isInTime ? 1 : 0;
-    inTimeAfter += isInTime && isAfter(caller) ? 1 : 0;
+    inTimeAfterBurst += isInTime && isAfterBurst(caller) ? 1 : 0;
     handle(placer.report(ended(request.value(), 1, AttemptResult.COMPLETED), events.now()));
   }
 
-  private void comeBack(Caller caller, long afterMillis) {
-    long again = events.now() + afterMillis;
-    if (caller.tries() < 2 && again < caller.firstMillis() + WILLING_MILLIS) {
-      events.at(again, () -> arrive(new Caller(caller.content(), caller.firstMillis(), 2)));
+  private void retry(Caller caller, long afterMillis) {
+    long retryAt = events.now() + afterMillis;
+    if (caller.tries() < 2 && retryAt < caller.firstMillis() + PATIENCE_MILLIS) {
+      events.at(retryAt, () -> arrive(new Caller(caller.content(), caller.firstMillis(), 2)));
     }
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/placement/PlainPlacementTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PlainPlacementTest.java
@@ -51,7 +51,7 @@
    * request with an error at once, so it always looks the least loaded and draws the most requests.
    */
   @Test
-  void anUpstreamThatKeepsFailingIsLeftOutAndReturnsSlowly() {
+  void anUpstreamThatKeepsFailingIsEjectedAndReadmittedSlowly() {
     ReservingPlacer placer = plainPlacer(plainPool(3, 20));
     for (int number = 0; number < 5; number++) {
       placer.place(lookup("r" + number), 0);
@@ -91,7 +91,7 @@
    * one in three may be out, and the two that were gone did not count.
    */
   @Test
-  void theLastUpstreamThatIsLeftIsNotEjected() {
+  void theLastAvailableUpstreamIsNotEjected() {
     ReservingPlacer placer = plainPlacer(plainPool(3, 20));
     placer.availability(new UpstreamName("plain-0"), false, 0);
     placer.availability(new UpstreamName("plain-1"), false, 0);
@@ -134,7 +134,7 @@
   }
 
   @Test
-  void anUpstreamThatSaysItIsLeavingGetsNothingMore() {
+  void anUpstreamThatReportsDrainingGetsNoNewRequests() {
     ReservingPlacer placer = plainPlacer(plainPool(1, 2));
     placer.load(
         new LoadReport(new UpstreamName("plain-0"), 1, UpstreamRole.PLAIN, 2, 0, 0, 0, true, 0), 0);
--- a/core/src/test/java/org/marjoramsail/core/placement/ReservingPlacerFuzzTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/ReservingPlacerFuzzTest.java
@@ -28,14 +28,14 @@
   private static final int SLOTS = 2;
 
   /** A placer drops repeats of what ended that long ago at most, and only of its own attempts. */
-  private static final long MEMORY_MILLIS = 5_000;
+  private static final long TOMBSTONE_MILLIS = 5_000;
 
   private static final int UPSTREAMS_OF_A_ROLE = 3;
   private static final List<ServiceClass> CLASSES = List.of(ServiceClass.values());
   private static final List<AttemptResult> RESULTS = List.of(AttemptResult.values());
 
   @Property(seed = "20261202", tries = 600)
-  void slotsHoldAndEveryAttemptIsDecidedOnce(
+  void noUpstreamExceedsItsSlotsAndEveryAttemptIsDecidedOnce(
       @ForAll @Size(min = 20, max = 200) List<@IntRange(min = 0, max = 999_999) Integer> steps) {
     Model model = new Model();
     steps.forEach(model::step);
@@ -45,7 +45,7 @@
   private enum State {
     WAITING,
     RUNNING,
-    OVER
+    ENDED
   }
 
   /** One request as its entry daemon knows it. */
@@ -54,17 +54,17 @@
     private State state = State.WAITING;
     private Grant grant;
     private AttemptPhase phase = AttemptPhase.PREFILLING;
-    private boolean remembered;
-    private long overAt;
-    private boolean repeatedTooLate;
-
-    void over(long atMillis, boolean isRemembered) {
-      state = State.OVER;
-      overAt = atMillis;
-      remembered = isRemembered;
+    private boolean hasTombstone;
+    private long endedAt;
+    private boolean repeatedAfterExpiry;
+
+    void markEnded(long atMillis, boolean leavesTombstone) {
+      state = State.ENDED;
+      endedAt = atMillis;
+      hasTombstone = leavesTombstone;
     }
 
-    boolean isReading() {
+    boolean isPrefilling() {
       return state == State.RUNNING
           && phase == AttemptPhase.PREFILLING
           && grant.prefill().isPresent()
@@ -92,8 +92,8 @@
         case 8, 9 -> end(choice);
         case 10 -> withdraw(choice);
         case 11 -> lateLoad(choice);
-        case 12 -> flap(choice);
-        case 13 -> loseDaemon(choice);
+        case 12 -> toggleAvailability(choice);
+        case 13 -> failDaemon(choice);
         case 14 -> changeOwner(choice);
         default -> passTime(choice);
       }
@@ -105,7 +105,7 @@
       for (String name : upstreams()) {
         take(placer.availability(new UpstreamName(name), true, now));
       }
-      for (int round = 0; round < 200 && !isOver(); round++) {
+      for (int round = 0; round < 200 && !areAllEnded(); round++) {
         for (Entry entry : List.copyOf(entries.values())) {
           if (entry.state == State.RUNNING) {
             finish(entry, AttemptResult.COMPLETED);
@@ -116,7 +116,7 @@
         take(placer.tick(now));
         check();
       }
-      assertThat(isOver()).as("all attempts are decided and over").isTrue();
+      assertThat(areAllEnded()).as("all attempts are decided and over").isTrue();
       ShardView view = placer.view(now);
       assertThat(view.waiting()).isEmpty();
       assertThat(view.running()).isEmpty();
@@ -153,9 +153,9 @@
       pick(choice, entries.values().stream().toList())
           .ifPresent(
               entry -> {
-                entry.repeatedTooLate =
-                    entry.state == State.OVER
-                        && (!entry.remembered || now - entry.overAt >= MEMORY_MILLIS);
+                entry.repeatedAfterExpiry =
+                    entry.state == State.ENDED
+                        && (!entry.hasTombstone || now - entry.endedAt >= TOMBSTONE_MILLIS);
                 List<PlacementResult> results = placer.place(entry.request, now);
                 if (entry.state == State.RUNNING) {
                   assertThat(PlacementFixtures.onlyGrant(results)).isEqualTo(entry.grant);
@@ -176,11 +176,11 @@
                 if (isForward && !isLate) {
                   entry.phase = next;
                 }
-                AttemptPhase told = isLate ? entry.phase : next;
+                AttemptPhase reported = isLate ? entry.phase : next;
                 take(
                     placer.report(
                         PlacementFixtures.progress(
-                            entry.request.request().value(), entry.request.attempt(), told),
+                            entry.request.request().value(), entry.request.attempt(), reported),
                         now));
               });
     }
@@ -200,7 +200,7 @@
     }
 
     private void finish(Entry entry, AttemptResult result) {
-      entry.over(now, true);
+      entry.markEnded(now, true);
       take(placer.report(endOf(entry, result), now));
     }
 
@@ -223,7 +223,7 @@
       pick(choice, entries.values().stream().toList())
           .ifPresent(
               entry -> {
-                entry.over(now, entry.state != State.OVER || entry.remembered);
+                entry.markEnded(now, entry.state != State.ENDED || entry.hasTombstone);
                 take(placer.withdraw(entry.request.request(), now));
               });
     }
@@ -231,11 +231,11 @@
     /** A report that shows less than is granted, as it would be before the grants arrived. */
     private void lateLoad(int choice) {
       String name = upstreams().get(choice % upstreams().size());
-      int shown = held(name) == 0 ? 0 : choice % (held(name) + 1);
-      take(placer.load(report(name, shown), now));
+      int reportedRunning = held(name) == 0 ? 0 : choice % (held(name) + 1);
+      take(placer.load(report(name, reportedRunning), now));
     }
 
-    private void flap(int choice) {
+    private void toggleAvailability(int choice) {
       String name = upstreams().get(choice % upstreams().size());
       boolean isAvailable = choice / 10 % 2 == 0;
       List<PlacementResult> results = placer.availability(new UpstreamName(name), isAvailable, now);
@@ -245,16 +245,16 @@
       take(results);
     }
 
-    private void loseDaemon(int choice) {
+    private void failDaemon(int choice) {
       int host = choice % 3;
-      DaemonId dead = daemon(host);
+      DaemonId failed = daemon(host);
       incarnations[host]++;
       for (Entry entry : entries.values()) {
-        if (entry.request.entry().equals(dead)) {
-          entry.over(now, true);
+        if (entry.request.entry().equals(failed)) {
+          entry.markEnded(now, true);
         }
       }
-      take(placer.daemonFailed(dead, now));
+      take(placer.daemonFailed(failed, now));
     }
 
     /** The entries register what they hold with the new owner, some twice, and ask again. */
@@ -263,7 +263,7 @@
           new ReservingPlacer(
               PlacementFixtures.setup(PlacementFixtures.MODEL_SHARD, configuration, true), now);
       List<Entry> all = List.copyOf(entries.values());
-      all.forEach(entry -> entry.remembered = false);
+      all.forEach(entry -> entry.hasTombstone = false);
       for (Entry entry : all) {
         if (entry.state == State.WAITING) {
           take(placer.place(entry.request, now));
@@ -286,8 +286,8 @@
     private void take(List<PlacementResult> results) {
       for (PlacementResult result : results) {
         Entry entry = entries.get(result.request());
-        if (entry.state == State.OVER && entry.repeatedTooLate) {
-          disown(result);
+        if (entry.state == State.ENDED && entry.repeatedAfterExpiry) {
+          cancelUnknown(result);
           continue;
         }
         assertThat(entry.state).as("undecided: %s", result).isEqualTo(State.WAITING);
@@ -302,13 +302,13 @@
                   : AttemptPhase.PREFILLED;
         } else if (result instanceof PlacementResult.Refused refused) {
           assertThat(refused.refusal().runState()).isEqualTo(RunState.NOT_RUN);
-          entry.over(now, false);
+          entry.markEnded(now, false);
         }
       }
     }
 
     /** An entry daemon that gets upstreams for what it no longer knows gives them back. */
-    private void disown(PlacementResult result) {
+    private void cancelUnknown(PlacementResult result) {
       if (result instanceof PlacementResult.Granted granted) {
         String name = result.request().value();
         int attempt = granted.grant().attempt();
@@ -331,7 +331,7 @@
       int held = 0;
       for (Entry entry : running()) {
         held += entry.grant.target().equals(upstream) ? 1 : 0;
-        held += entry.isReading() && entry.grant.prefill().equals(Optional.of(upstream)) ? 1 : 0;
+        held += entry.isPrefilling() && entry.grant.prefill().equals(Optional.of(upstream)) ? 1 : 0;
       }
       return held;
     }
@@ -345,8 +345,8 @@
       return entries.values().stream().filter(entry -> entry.state == State.RUNNING).toList();
     }
 
-    private boolean isOver() {
-      return entries.values().stream().allMatch(entry -> entry.state == State.OVER);
+    private boolean areAllEnded() {
+      return entries.values().stream().allMatch(entry -> entry.state == State.ENDED);
     }
 
     private DaemonId daemon(int host) {
--- a/core/src/test/java/org/marjoramsail/core/placement/ReservingPlacerTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/ReservingPlacerTest.java
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void aShortPromptIsReadByTheDecodeUpstreamItself() {
+  void aShortPromptIsPrefilledOnTheDecodeUpstream() {
     ReservingPlacer placer = placer(pool(1, 1, 2));
 
     Grant grant = onlyGrant(placer.place(request("r1").tokens(50, 10).build(), 0));
@@ -53,7 +53,7 @@
    * go to when its KV cache expires.
    */
   @Test
-  void noPromptIsReadWhileNoDecodeSlotIsFree() {
+  void noPromptIsPrefilledWhileNoDecodeSlotIsFree() {
     ReservingPlacer placer = placer(pool(4, 1, 2));
     placer.place(request("r1").build(), 0);
     placer.place(request("r2").build(), 0);
@@ -70,7 +70,7 @@
    * burst and says that it is empty; the owner believes it and forgets its own grants.
    */
   @Test
-  void aLaggingReportDoesNotFreeASlotThatIsGranted() {
+  void anOutdatedLoadReportDoesNotFreeAReservedSlot() {
     ReservingPlacer placer = placer(pool(1, 1, 1));
     placer.place(request("r1").build(), 0);
 
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void whatOthersRunOnAnUpstreamTakesItsSlots() {
+  void requestsOfOthersOnAnUpstreamOccupyItsSlots() {
     ReservingPlacer placer = placer(pool(1, 1, 2));
     placer.load(load("decode-0", UpstreamRole.DECODE, 2, 2), 0);
 
@@ -95,7 +95,7 @@
    * grants and takes all slots for free before the entry daemons have registered again.
    */
   @Test
-  void aNewOwnerGrantsNothingUntilItKnowsWhatIsHeld() {
+  void aNewOwnerGrantsNothingUntilItHasRestoredReservations() {
     ReservingPlacer placer =
         new ReservingPlacer(
             PlacementFixtures.setup(PlacementFixtures.MODEL_SHARD, pool(1, 1, 2), true), 0);
@@ -117,7 +117,7 @@
   }
 
   @Test
-  void aNewOwnerGrantsAtOnceWhatReportsShowToBeFree() {
+  void aNewOwnerGrantsAtOnceTheSlotsThatLoadReportsShowAsFree() {
     ReservingPlacer placer =
         new ReservingPlacer(
             PlacementFixtures.setup(PlacementFixtures.MODEL_SHARD, pool(1, 1, 2), true), 0);
@@ -156,7 +156,7 @@
   }
 
   @Test
-  void whatADeadDaemonHeldAndWaitedForIsFree() {
+  void reservationsAndWaitingAttemptsOfAFailedDaemonAreRemoved() {
     ReservingPlacer placer = placer(pool(1, 1, 1));
     placer.place(request("r1").build(), 0);
     placer.place(request("r2").build(), 0);
@@ -171,7 +171,7 @@
    * a dead daemon.
    */
   @Test
-  void aDaemonThatComesBackIsServedAtOnce() {
+  void aRecoveredDaemonIsServedAtOnce() {
     ReservingPlacer placer = placer(pool(0, 1, 2));
     placer.daemonFailed(PlacementFixtures.ENTRY, 0);
 
@@ -187,7 +187,7 @@
    * names the prefill upstream that still has the cache for some hundred milliseconds.
    */
   @Test
-  void anAttemptWhoseKvCacheLivesGetsADecodeSlotOnly() {
+  void anAttemptWithAHeldKvCacheGetsOnlyADecodeSlot() {
     ReservingPlacer placer = placer(pool(1, 2, 2));
     PlacementRequest request =
         request("r1").attempt(2).kvHeldBy("prefill-0").avoid("decode-0").build();
@@ -219,7 +219,7 @@
   }
 
   @Test
-  void aPrefixMeetsTheUpstreamThatHasIt() {
+  void aPromptIsSentToTheUpstreamThatCachesItsPrefix() {
     ReservingPlacer placer = placer(pool(4, 4, 8));
     List<Long> hashes = LongStream.rangeClosed(1, 16).boxed().toList();
     for (long hash : hashes) {
@@ -232,7 +232,7 @@
   }
 
   @Test
-  void quickRequestsPassLongOnesButDoNotStarveThem() {
+  void quickRequestsOvertakeStandardOnesButDoNotStarveThem() {
     ReservingPlacer placer = placer(pool(0, 1, 1));
     placer.place(request("first").tokens(50, 10).build(), 0);
     for (int number = 0; number < 20; number++) {
@@ -274,7 +274,7 @@
   }
 
   @Test
-  void deferrableRequestsAreServedByDeadlineAndMakeIt() {
+  void deferrableRequestsAreServedInOrderOfDeadline() {
     ReservingPlacer placer = placer(pool(0, 1, 1));
     placer.place(request("first").tokens(50, 10).build(), 0);
     PlacementFixtures.RequestBuilder late = request("late").serviceClass(ServiceClass.DEFERRABLE);
@@ -287,7 +287,7 @@
   }
 
   @Test
-  void whatCannotStartInTimeIsRefusedAsNotRun() {
+  void aRequestThatCannotStartBeforeItsDeadlineIsRefusedAsNotRun() {
     ReservingPlacer placer = placer(pool(0, 1, 1));
     placer.place(request("r1").tokens(50, 10).build(), 0);
     placer.place(request("r2").tokens(50, 10).within(1_500, 9_000).build(), 0);
@@ -305,7 +305,7 @@
    * the time left is negative, and no rate was ever the reason.
    */
   @Test
-  void aRequestThatComesAfterItsTargetIsNotSaidToExceedARate() {
+  void aRequestThatArrivesAfterItsTargetIsNotRefusedForARateLimit() {
     ReservingPlacer placer = placer(pool(0, 1, 1, List.of(organisation("rosario", 2, 1_000))));
     placer.availability(new UpstreamName("decode-0"), false, 0);
 
@@ -322,7 +322,7 @@
    * less urgent requests of all others waited behind it for as long as its limit held.
    */
   @Test
-  void anOrganisationAtItsLimitHoldsUpNoOther() {
+  void anOrganisationAtItsLimitDoesNotBlockOthers() {
     ReservingPlacer placer = placer(pool(0, 1, 2, List.of(organisation("rosario", 1, 0))));
     placer.place(request("other").organisation("o").tokens(50, 10).build(), 0);
     placer.place(request("third").organisation("o").tokens(50, 10).build(), 0);
@@ -361,7 +361,7 @@
   }
 
   @Test
-  void withoutPrefillUpstreamsDecodeUpstreamsReadThePrompt() {
+  void withoutPrefillUpstreamsPromptsArePrefilledOnDecodeUpstreams() {
     ReservingPlacer placer = placer(pool(1, 1, 2));
     placer.availability(new UpstreamName("prefill-0"), false, 0);
 
@@ -370,7 +370,7 @@
   }
 
   @Test
-  void progressFreesThePrefillUpstreamBeforeTheEnd() {
+  void theEndOfThePrefillReleasesThePrefillUpstream() {
     ReservingPlacer placer = placer(pool(1, 1, 2));
     placer.place(request("r1").build(), 0);
 
--- a/core/src/test/java/org/marjoramsail/core/placement/StartedAgainTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/RestartedUpstreamTest.java
@@ -11,7 +11,7 @@
 import org.marjoramsail.core.configuration.Configuration;
 import org.marjoramsail.core.model.RequestId;
 
-class StartedAgainTest {
+class RestartedUpstreamTest {
 
   private static final int MEMORY_TOKENS = 7_000;
 
@@ -21,7 +21,7 @@
    * engine for full, and requests waited beside it.
    */
   @Test
-  void whatRanBeforeHoldsNoPlaceOnAnEngineThatHasStartedAgain() {
+  void requestsOfAnEarlierIncarnationHoldNoSlotOnARestartedUpstream() {
     Configuration pool = PlacementFixtures.poolWithMemory(1, 1, 1, MEMORY_TOKENS);
     ReservingPlacer placer = PlacementFixtures.placer(pool);
     placer.place(request("old").tokens(3_000, 800).build(), 0);
@@ -35,7 +35,7 @@
 
   /** The prompt of a request is still being read; its answer will come from the new life. */
   @Test
-  void aRequestThatHasNotBegunThereKeepsItsPlace() {
+  void aRequestWhosePrefillIsInFlightKeepsItsSlot() {
     Configuration pool = PlacementFixtures.poolWithMemory(1, 1, 1, MEMORY_TOKENS);
     ReservingPlacer placer = PlacementFixtures.placer(pool);
     placer.place(request("old").tokens(3_000, 800).build(), 0);
--- a/core/src/test/java/org/marjoramsail/core/placement/TimelyPlacementTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/TimelyPlacementTest.java
@@ -25,7 +25,7 @@
   private final ReservingPlacer placer = plainPlacer(plainPool(1, 1));
 
   @Test
-  void aRequestThatMissesItsTargetWaitsOnAndIsServedLate() {
+  void aRequestThatMissesItsTargetKeepsWaitingAndIsServedLate() {
     place("r1", 0);
     place("r2", 0);
 
@@ -39,7 +39,7 @@
    * come just too late; what can still be in time goes before what is late already.
    */
   @Test
-  void whatCanStillBeInTimeGoesBeforeWhatIsLate() {
+  void requestsThatCanMeetTheirTargetAreServedBeforeLateOnes() {
     place("r1", 0);
     place("late", 0);
     placer.tick(TARGET + 1);
@@ -51,7 +51,7 @@
 
   /** A caller that would leave before its place comes is told at once that it has not run. */
   @Test
-  void aRequestIsRefusedOnceEvenALateAnswerIsOutOfReach() {
+  void aRequestIsRefusedOnceItsDeadlineCannotBeMet() {
     place("r1", 0);
     place("r2", 0);
 
@@ -68,7 +68,7 @@
    * that he overtook would be late as well, and be told to come back in turn.
    */
   @Test
-  void aCallerThatComesBackAsItWasToldGoesBeforeAllThatAreLate() {
+  void aRetryAfterARefusalIsServedBeforeOtherLateRequests() {
     place("r1", 0);
     place("refused", 0, 77);
     placer.tick(DEADLINE + 1);
@@ -107,7 +107,7 @@
    * seventh lookup for longer than it had left, and so refused most of those that came after.
    */
   @Test
-  void nothingIsRefusedForAPredictedWaitBeforeThereAreAnswersToPredictFrom() {
+  void nothingIsRefusedForAnEstimatedWaitBeforeResponsesWereMeasured() {
     List<PlacementResult> results = new ArrayList<>();
 
     for (int number = 0; number < 20; number++) {
@@ -118,7 +118,7 @@
   }
 
   @Test
-  void aWaitThatAnswersShowToBeTooLongIsRefusedAtOnce() {
+  void aRequestIsRefusedAtOnceIfMeasuredResponseTimesMakeItsWaitTooLong() {
     for (int number = 0; number < 12; number++) {
       place("old" + number, number * 1_000L);
       end("old" + number, (number + 1) * 1_000L);
@@ -137,7 +137,7 @@
    * that the answer takes has to be left.
    */
   @Test
-  void aRequestThatCannotBeAnsweredInTimeAnyMoreGivesWayToOneThatCan() {
+  void aRequestThatCanNoLongerMeetItsTargetYieldsToOneThatCan() {
     for (int number = 0; number < 12; number++) {
       place("old" + number, number * 100L);
       end("old" + number, number * 100L + 40);
