--- a/core/src/main/java/org/marjoramsail/core/placement/AcceptedFeedback.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/AcceptedFeedback.java
@@ -5,13 +5,13 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * What the owner of a shard has begun to believe of an upstream after what that said of itself.
+ * Change that the owner of a shard has accepted from an upstream's feedback.
  *
- * @param upstream which
- * @param requestsPerSecond the limit that it named; empty once there is none any more
- * @param leaving whether it has said that it leaves
- * @param reportedBy the host that got the answer
- * @param ageMillis how old the answer was when the owner heard of it
+ * @param upstream upstream that gave the feedback
+ * @param requestsPerSecond rate limit in effect; empty if there is none
+ * @param leaving whether the upstream has announced that it is draining
+ * @param reportedBy host that received the response with the feedback
+ * @param ageMillis age of the response when the owner received the feedback
  */
 public record AcceptedFeedback(
     UpstreamName upstream,
--- a/core/src/main/java/org/marjoramsail/core/placement/AttemptTombstones.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/AttemptTombstones.java
@@ -6,10 +6,10 @@
 import org.marjoramsail.core.model.RequestId;
 
 /**
- * Remembers for some seconds which attempts have ended and which daemons are failedDaemons.
+ * Keeps for some seconds which attempts have ended and which daemons have failed.
  *
- * <p>Entry daemons repeat what may be lost, so a message can arrive after the end of what it is
- * about. Taken at its word it would reserve slots that nobody releases.
+ * <p>Entry daemons repeat messages that may be lost, so a message can arrive after its attempt has
+ * ended. Guards against such a message reserving slots that nobody releases.
  */
 final class AttemptTombstones {
 
@@ -31,21 +31,21 @@
   }
 
   /**
-   * Records that a daemon lives after all.
+   * Records that a daemon that was declared failed is alive.
    *
-   * <p>Guards against a daemon that was paused for longer than a suspicion lasts: its callers would
-   * go without an answer for the rest of the time for which it counts as gone, since none of its
-   * requests would be queued. It is heard again as soon as membership has taken it back.
+   * <p>Guards against a daemon that was paused for longer than the failure detector allows: until
+   * the tombstone expires, none of its requests would be queued. Its requests count again as soon
+   * as the membership has readmitted it.
    */
   void daemonRecovered(DaemonId daemon) {
     failedDaemons.invalidate(daemon);
   }
 
   /**
-   * Whether a message about this attempt is late.
+   * Returns whether a request belongs to an attempt that has ended or to a daemon that has failed.
    *
-   * <p>A daemon counts as gone for some seconds at most: one that was declared dead wrongly repeats
-   * its requests and has to be heard again.
+   * <p>A daemon counts as failed for some seconds at most: one that was wrongly declared failed
+   * repeats its requests and has to be served again.
    */
   boolean isObsolete(PlacementRequest request, long nowMillis) {
     Ended last = ended.getIfPresent(request.request());
--- a/core/src/main/java/org/marjoramsail/core/placement/OrganisationState.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/OrganisationState.java
@@ -6,7 +6,8 @@
 import org.marjoramsail.core.configuration.OrganisationDefinition;
 
 /**
- * One organisation in one shard: its lanes of waiting attempts, its tag for fairness, its limits.
+ * State of one organisation in one shard: its lanes of waiting attempts, its fair queueing tags and
+ * its limits.
  */
 final class OrganisationState {
 
@@ -34,9 +35,9 @@
   private long recentAt;
 
   /**
-   * Creates one without demand.
+   * Creates the state of an organisation without demand.
    *
-   * @param takenOverAt when its shard was taken over from another owner; see {@link TokenBucket}
+   * @param takenOverAt when the shard was taken over from another owner; see {@link TokenBucket}
    */
   OrganisationState(String name, Optional<Long> takenOverAt) {
     this.name = name;
@@ -79,7 +80,7 @@
     return maximumConcurrency > 0 || requestsPerSecond > 0 || tokensPerSecond > 0;
   }
 
-  /** Handles the limits of its definition; an organisation without one has none. */
+  /** Applies the weight and limits of its definition; an organisation without one has no limits. */
   void define(Optional<OrganisationDefinition> definition) {
     weight = definition.map(OrganisationDefinition::weight).filter(value -> value > 0).orElse(1.0);
     maximumConcurrency = definition.map(OrganisationDefinition::maximumConcurrency).orElse(0);
@@ -89,19 +90,19 @@
   }
 
   /**
-   * Sets what this shard may use of each limit.
+   * Sets this shard's share of each limit.
    *
-   * <p>Of concurrency it has a share by demand: what it has running over that of all shards. Each
-   * shard counts for a little without demand, so that shares add up to at most one where all know
-   * the same demands. A share is at least one, else an organisation with a low limit and many
-   * shards would never run.
+   * <p>The concurrency limit is divided by demand: running and waiting attempts here over those of
+   * all shards. Each shard has a small minimum demand, so that the shares add up to at most one
+   * where all owners know the same demands. A share is at least one attempt, so that an
+   * organisation with a low limit and many shards is still served.
    *
-   * <p>Rates are not divided: requests of one organisation come to a shard seconds apart, and a
-   * shard that has had none for a while would refuse the first of the next ones. Each shard holds
-   * the whole rate and takes off what {@linkplain #startedElsewhere others} start.
+   * <p>Rates are not divided: the requests of one organisation may reach a shard seconds apart, and
+   * a share by recent demand would refuse the first one after a pause. Each shard holds the whole
+   * rate and subtracts what {@linkplain #startedElsewhere others} start.
    *
    * @param elsewhere attempts that run or wait in other shards
-   * @param fleetShare which part of a rate the daemons may spend that see each other
+   * @param fleetShare share of a rate that the daemons visible to each other may spend
    */
   void share(int elsewhere, int shardCount, double fleetShare) {
     double own = demand() + MINIMUM_DEMAND;
@@ -111,44 +112,50 @@
     tokens.limit(tokensPerSecond * fleetShare, burst * fleetShare);
   }
 
-  /** Attempts that run or wait here. */
+  /** Returns the number of attempts that run or wait here. */
   int demand() {
     return running + waiting();
   }
 
-  /** Counts what another shard started against the rates that both hold. */
+  /** Charges what another shard started to the rates, which apply to all shards together. */
   void startedElsewhere(long requestCount, long tokenCount, long nowMillis) {
     requests.take((double) requestCount, nowMillis);
     tokens.take((double) tokenCount, nowMillis);
   }
 
-  /** Counts what an owner has started that was not heard of before, at most a burst of it. */
+  /** Charges what a newly seen owner has started, limited to one burst. */
   void startedByNewOwner(long requestCount, long tokenCount, long nowMillis) {
     requests.take(Math.min((double) requestCount, requests.burst()), nowMillis);
     tokens.take(Math.min((double) tokenCount, tokens.burst()), nowMillis);
   }
 
-  /** Requests that were started here since this owner began. */
+  /** Returns the number of requests started here since this owner began. */
   long startedRequests() {
     return startedRequests;
   }
 
-  /** What these counted for in tokens. */
+  /** Returns the tokens charged for {@link #startedRequests}. */
   long startedTokens() {
     return startedTokens;
   }
 
-  /** Whether so much of a rate is used that other shards have to hear of each start soon. */
+  /**
+   * Returns whether half of a rate is used, so that other shards must be informed of each start
+   * soon.
+   */
   boolean isNearRateLimit(long nowMillis) {
     return requests.isHalfUsed(nowMillis) || tokens.isHalfUsed(nowMillis);
   }
 
-  /** Counts an attempt that begins or, with a negative number, ceases to wait. */
+  /**
+   * Adds the tokens of an attempt that begins to wait or, if negative, subtracts those of one that
+   * ends waiting.
+   */
   void waitingTokens(int change) {
     waitingTokens += change;
   }
 
-  /** What keeps it from starting one more attempt now. */
+  /** Returns the limit that prevents the start of another attempt now. */
   Optional<MissingResource> missing(long nowMillis) {
     if (maximumConcurrency > 0 && running >= concurrencyShare) {
       return Optional.of(MissingResource.ORGANISATION_CONCURRENCY);
@@ -160,10 +167,10 @@
   }
 
   /**
-   * How long its rates keep an attempt from starting.
+   * Returns how long the rates delay the start of an attempt, in milliseconds.
    *
-   * @param attempts how many wait before it
-   * @param attemptTokens what it counts for itself, which is among what waits
+   * @param attempts attempts that wait before it
+   * @param attemptTokens tokens that are charged for it and are part of the waiting tokens
    */
   long rateWaitMillis(int attempts, int attemptTokens, long nowMillis) {
     double tokensAhead = Math.max(0, waitingTokens - attemptTokens);
@@ -171,7 +178,7 @@
         requests.waitMillis(attempts, nowMillis), tokens.waitMillis(tokensAhead, nowMillis));
   }
 
-  /** Its limits here and what is left of them, for a refusal that has to be explained. */
+  /** Describes the limits here and their unused part, for the message of a refusal. */
   String describeLimits(long nowMillis) {
     return "tokens left "
         + (long) tokens.credit(nowMillis)
@@ -184,7 +191,7 @@
   }
 
   /**
-   * Counts an attempt that was granted here; what this program repeats costs its limits nothing.
+   * Records an attempt that was granted here; a retry by this program is not charged to the limits.
    */
   void started(PlacementRequest request, long nowMillis) {
     running++;
@@ -199,7 +206,7 @@
     }
   }
 
-  /** Counts an attempt that another owner started: its rates were charged there. */
+  /** Records an attempt that another owner started and charged to the rates. */
   void restored() {
     running++;
   }
@@ -222,7 +229,7 @@
     recentAt = nowMillis;
   }
 
-  /** The attempts of one organisation in one lane, in their order of service. */
+  /** Attempts of one organisation in one lane, in order of service. */
   static final class OrganisationLane {
 
     private final OrganisationState organisation;
@@ -242,18 +249,21 @@
       return attempts;
     }
 
-    /** Begins to wait; gives the weight with which it does, whatever the definition says later. */
+    /**
+     * Stores and returns the organisation's weight for the time in which the lane is not empty, so
+     * that {@link #leave} returns the same weight after a change of the definition.
+     */
     double join() {
       joinedWeight = organisation.weight();
       return joinedWeight;
     }
 
-    /** Ends to wait; gives the weight with which it began. */
+    /** Returns the weight that {@link #join} stored. */
     double leave() {
       return joinedWeight;
     }
 
-    /** Virtual time at which its next attempt starts, in tokens over weight. */
+    /** Returns the virtual start time of its next attempt, in tokens over weight. */
     double startTag() {
       return startTag;
     }
--- a/core/src/main/java/org/marjoramsail/core/placement/OrganisationTable.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/OrganisationTable.java
@@ -11,16 +11,16 @@
 import org.marjoramsail.core.configuration.OrganisationDefinition;
 import org.marjoramsail.core.placement.OrganisationUsageMessage.Usage;
 
-/** The organisations of one shard and this shard's part in their limits. */
+/** Table of the organisations of one shard and of this shard's share in their limits. */
 final class OrganisationTable {
 
-  /** Demand of another shard counts for that long after it was told. */
+  /** Time for which a received demand of another shard counts. */
   private static final long DEMAND_VALIDITY_MILLIS = 5_000;
 
-  /** How often usage is told while every organisation is well below its rates. */
+  /** Interval between messages while every organisation is well below its rates. */
   private static final long REGULAR_INTERVAL_MILLIS = 1_000;
 
-  /** An owner that was not heard of for so long is gone; it told something every second. */
+  /** Time without messages after which another owner's counts are removed. */
   private static final long OWNER_EXPIRY_MILLIS = 60_000;
 
   private final ShardId shard;
@@ -36,8 +36,8 @@
   /**
    * Creates the table of a new owner.
    *
-   * @param epoch tells this owner from others of the same shard
-   * @param isTakenOver whether another owner may have come before
+   * @param epoch identifies this owner among the successive owners of the shard
+   * @param isTakenOver whether another owner may have preceded this one
    */
   OrganisationTable(ShardId shard, long epoch, boolean isTakenOver, long nowMillis) {
     this.shard = shard;
@@ -54,7 +54,7 @@
     byName.values().forEach(organisation -> organisation.define(definitionOf(organisation)));
   }
 
-  /** Sets which part of the daemons this owner sees. */
+  /** Sets the share of the daemons that this owner sees. */
   void fleetShare(double share) {
     fleetShare = share;
   }
@@ -68,8 +68,8 @@
   }
 
   /**
-   * What the owners of other shards should hear now: usage of organisations with limits, every
-   * second, and at once where one of them nears a rate.
+   * Returns the usage of organisations with limits for the owners of other shards. It is empty
+   * until a second has passed since the last one, unless an organisation nears a rate limit.
    */
   OrganisationUsageMessage usage(long nowMillis) {
     List<Usage> usages = new ArrayList<>();
@@ -93,10 +93,10 @@
   }
 
   /**
-   * Handles what the owner of another shard told.
+   * Handles the usage that the owner of another shard sent.
    *
-   * <p>A shard may have two owners for a while, each of which tells its own counts. Of one that was
-   * not heard of before, no more than a burst is counted: what it started long ago is over.
+   * <p>A shard may have two owners for a while, each of which sends its own counts. The first
+   * message of an owner is charged with at most one burst, as most of its counts may be old.
    */
   void receive(OrganisationUsageMessage message, long nowMillis) {
     if (message.shard().equals(shard)) {
@@ -121,7 +121,9 @@
     otherOwners.put(owner, new ReceivedUsage(usageByOrganisation, nowMillis));
   }
 
-  /** Works out the shares again, and forgets organisations without demand or limits. */
+  /**
+   * Recalculates the shares, and removes expired owners and organisations without demand or limits.
+   */
   void refresh(long nowMillis) {
     otherOwners
         .values()
--- a/core/src/main/java/org/marjoramsail/core/placement/OrganisationUsageMessage.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/OrganisationUsageMessage.java
@@ -4,29 +4,30 @@
 import org.marjoramsail.core.message.PeerMessage;
 
 /**
- * What organisations with limits use and want in one shard; its owner tells the other owners.
+ * Usage and demand of the organisations with limits in one shard, sent by its owner to the other
+ * owners.
  *
- * @param shard whose usage
- * @param epoch drawn by its owner when it began; another value means another owner, whose counts
- *     begin at zero, and there may be two for a while
- * @param usages one for each organisation with demand
+ * @param shard shard that the usage belongs to
+ * @param epoch random number that identifies the owner; each owner's counts begin at zero, and a
+ *     shard may have two owners for a while
+ * @param usages one entry for each organisation with limits; empty if nothing has to be sent
  */
 public record OrganisationUsageMessage(ShardId shard, long epoch, List<Usage> usages)
     implements PeerMessage {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the list to make the message immutable. */
   public OrganisationUsageMessage {
     usages = List.copyOf(usages);
   }
 
   /**
-   * The usage of one organisation. Counts only rise, so that a message that is lost is made good by
-   * the next.
+   * Usage of one organisation. Counts only increase, so that the next message makes up for a lost
+   * one.
    *
    * @param organisation its name
    * @param demand attempts that run or wait
-   * @param startedRequests attempts that its owner has started
-   * @param startedTokens what these counted for in tokens
+   * @param startedRequests requests that the owner has started, without retries
+   * @param startedTokens tokens charged for those requests
    */
   public record Usage(String organisation, int demand, long startedRequests, long startedTokens) {}
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/OwnerFeedback.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/OwnerFeedback.java
@@ -5,7 +5,10 @@
 import org.marjoramsail.core.feedback.RelayedFeedback;
 import org.marjoramsail.core.model.DaemonId;
 
-/** What the owner of a shard is told of the upstreams' own words, and what it believes since. */
+/**
+ * Applies feedback of upstreams that hosts relay to the owner of a shard, and collects accepted
+ * changes.
+ */
 final class OwnerFeedback {
 
   private final ShardUpstreams upstreams;
@@ -15,7 +18,7 @@
     this.upstreams = upstreams;
   }
 
-  /** Handles what an upstream said of itself to a host. */
+  /** Applies feedback that an upstream gave to a host. */
   void acceptFeedback(RelayedFeedback feedback, DaemonId from, long nowMillis) {
     upstreams
         .find(feedback.upstream())
@@ -24,10 +27,10 @@
   }
 
   /**
-   * Handles the report of an attempt, after what its host told with it.
+   * Handles the report of an attempt, after the feedback that its host relayed with it.
    *
-   * <p>A host tells with each report what upstreams said to it last; one of which it tells no limit
-   * has named none in its answer.
+   * <p>A host relays the latest feedback of upstreams with each report. If a host relays no rate
+   * limit of an upstream, the upstream's last response stated none, and its limit ends.
    */
   void attemptReported(RunningAttempt attempt, AttemptReport report, long nowMillis) {
     if (attempt.phase() == AttemptPhase.PREFILLING && report.phase() == AttemptPhase.PREFILLED) {
@@ -38,7 +41,7 @@
     }
   }
 
-  /** What has come to be believed since this was last asked. */
+  /** Returns and clears the feedback accepted since the last call. */
   List<AcceptedFeedback> takeAccepted() {
     List<AcceptedFeedback> taken = List.copyOf(accepted);
     accepted.clear();
--- a/core/src/main/java/org/marjoramsail/core/placement/PlacementViews.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/PlacementViews.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Turns the state of one shard into what operators see. */
+/** Creates the operators' view of one shard. */
 final class PlacementViews {
 
   private PlacementViews() {}
--- a/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ReservingPlacer.java
@@ -20,23 +20,24 @@
 import org.marjoramsail.core.placement.OrganisationState.OrganisationLane;
 
 /**
- * Queues the attempts of one shard and grants prefill and decode together.
+ * Queues the attempts of one shard and reserves the prefill and the decode upstream together.
  *
- * <p>The target's slot is reserved from the start of the prefill, so that no prompt is read whose
- * result has nowhere to go. What cannot be served in time is refused at once, as not run.
+ * <p>The decode slot is reserved before the prefill starts, so that no prompt is prefilled whose KV
+ * cache cannot be transferred. An attempt that cannot start before its deadline is refused early,
+ * with the state "not run".
  */
 public final class ReservingPlacer implements Placer, CacheObserver, UsageSharing {
 
-  /** Attempts with closed upstreams that are tried in one lane before the next lane. */
+  /** Maximum of attempts with excluded upstreams that are tried in one lane. */
   private static final int MAXIMUM_RESTRICTED_TRIED = 8;
 
-  /** For how many waiting attempts a view says what they lack now rather than when last tried. */
+  /** Limits the waiting attempts whose missing resource is determined again for a view. */
   private static final int MAXIMUM_DIAGNOSED = 100;
 
-  /** Tokens that one plain request counts for between organisations. */
+  /** Cost of one plain request in the fair queueing between organisations, in tokens. */
   private static final double PLAIN_COST_TOKENS = 100;
 
-  /** How much one generated token counts in tokens of a prompt: it holds a slot. */
+  /** Cost of a generated token in prompt tokens; higher than one because it holds a slot. */
   private static final double OUTPUT_COST_TOKENS = 4;
 
   private static final long SHARE_REFRESH_MILLIS = 500;
@@ -62,7 +63,7 @@
   private long nextSequence;
   private long refreshAt = Long.MIN_VALUE;
 
-  /** Starts with nothing granted; see {@link PlacerSetup#isTakenOver()} for a change of owner. */
+  /** Creates a placer; see {@link PlacerSetup#isTakenOver()} for a change of owner. */
   public ReservingPlacer(PlacerSetup setup, long nowMillis) {
     this.shard = setup.shard();
     this.settings = setup.settings();
@@ -89,7 +90,7 @@
   public List<PlacementResult> place(PlacementRequest request, long nowMillis) {
     Optional<RunningAttempt> running = reservations.find(request.request());
     if (running.isPresent() && running.get().request().attempt() == request.attempt()) {
-      // The entry repeats what it has not heard of: its grant was affected on the way.
+      // The entry daemon repeats the request because it did not receive the grant.
       count(PlacementCounter.GRANT_REPEATED);
       return List.of(new PlacementResult.Granted(request.entry(), running.get().grant()));
     }
@@ -272,12 +273,12 @@
     organisations.refresh(nowMillis);
   }
 
-  /** How often each thing happened since the start. */
+  /** Returns the number of occurrences of each event since the start. */
   public Map<PlacementCounter, Long> counters() {
     return Map.copyOf(counters);
   }
 
-  /** Attempts that run or wait, over the slots that can be used: one is full. */
+  /** Returns the attempts that run or wait, divided by the usable slots; 1 means full. */
   public double load(long nowMillis) {
     int slots = 0;
     for (UpstreamState upstream : upstreams.all()) {
@@ -299,7 +300,7 @@
         shard, upstreams, reservations, inOrder, organisations, waitEstimator, nowMillis);
   }
 
-  /** An upstream that has started again runs nothing of what its earlier life ran. */
+  /** Applies a configuration and discards attempts that ended with a restarted upstream. */
   private void applyConfiguration(Configuration configuration, long nowMillis) {
     ShardMap map = new ShardMap(configuration, settings.shardUpstreams());
     for (UpstreamName restarted : upstreams.define(map.upstreamsOf(shard), nowMillis)) {
@@ -322,7 +323,8 @@
 
   private Optional<Refusal> refusalAtArrival(PlacementRequest request, double leastMillis) {
     int limit = settings.maximumWaiting();
-    int allowed = limit - limit * request.serviceClass().rank() / (2 * ServiceClass.values().length);
+    int allowed =
+        limit - limit * request.serviceClass().rank() / (2 * ServiceClass.values().length);
     if (waiting.size() >= allowed) {
       String detail = "The queue of " + shard + " holds " + waiting.size() + " of " + allowed + ".";
       return Optional.of(Refusal.notRun(RefusalReason.QUEUE_FULL, detail, MINIMUM_RETRY_MILLIS));
@@ -340,16 +342,16 @@
       String detail = "No upstream of " + shard + " is left for attempt " + request.attempt() + ".";
       return Optional.of(Refusal.notRun(RefusalReason.NO_UPSTREAM, detail, MINIMUM_RETRY_MILLIS));
     }
-    // Estimates that went wrong once would refuse everything and so never be corrected: while
-    // nothing else runs or waitEstimator, a request is tried in spite of them.
+    // An idle shard tries a request even if it expects it to be late: otherwise wrong estimates
+    // would refuse every request and never be corrected.
     boolean isIdle = waiting.isEmpty() && reservations.size() == 0;
     if (WaitingAttempt.usefulWithinMillis(request) < leastMillis && !isIdle) {
       String detail =
-          "It needs "
+          "The request needs "
               + Math.round(leastMillis)
-              + " ms to its target and has "
+              + " ms to meet its latency target and has "
               + WaitingAttempt.usefulWithinMillis(request)
-              + " ms.";
+              + " ms left.";
       return Optional.of(Refusal.notRun(RefusalReason.DEADLINE_UNREACHABLE, detail));
     }
     return Optional.empty();
@@ -377,10 +379,10 @@
   }
 
   /**
-   * How long before its target an attempt has to start.
+   * Returns how long before its target an attempt has to start, in milliseconds.
    *
-   * <p>A plain request takes as long as its upstreams hold a slot. In a burst lookups that were
-   * granted in the last moment before their target were all answered just after it.
+   * <p>For a plain request it covers the expected time to the response. Guards against lookups that
+   * are granted just before their target and get their response just after it.
    */
   private long serviceMillis(PlacementRequest request, double leastMillis) {
     double targetWithin = Math.max(0, WaitingAttempt.targetWithinMillis(request));
@@ -396,12 +398,13 @@
       return;
     }
     diagnose(attempt, nowMillis);
-    // What is beyond a limit is told at once: it would wait for credit that newer requests take.
+    // Above a rate limit the attempt is refused at once, because newer requests would use up the
+    // credit that it waits for.
     if (attempt.canWaitPastTarget() && attempt.missing() != MissingResource.ORGANISATION_RATE) {
       continueLate(attempt, results, nowMillis);
       return;
     }
-    String detail = "It waited for " + attempt.missing().code() + " until it was too late.";
+    String detail = "The request lacked " + attempt.missing().code() + " for too long.";
     results.add(
         refuseWithRetry(
             attempt,
@@ -409,7 +412,7 @@
             nowMillis));
   }
 
-  /** Goes on for a late answer, unless even that is out of reach: then the caller is told now. */
+  /** Keeps an attempt waiting after its target unless its deadline cannot be met either. */
   private void continueLate(WaitingAttempt attempt, List<PlacementResult> results, long nowMillis) {
     queue.demote(attempt);
     count(PlacementCounter.WAITING_LATE);
@@ -429,7 +432,7 @@
     return results;
   }
 
-  /** Grants in order of service until nothing more fits. */
+  /** Grants waiting attempts in order of service until no further one fits. */
   private void dispatch(List<PlacementResult> results, long nowMillis) {
     boolean isProgressing = !waiting.isEmpty();
     while (isProgressing) {
@@ -440,11 +443,11 @@
   }
 
   /**
-   * Finds the next attempt that fits; lanes whose resource is used up are not looked at.
+   * Finds the next attempt that fits and skips lanes whose resource is used up.
    *
-   * <p>Nor are lanes behind a more urgent one that waitEstimator for tombstones: at the peak of a
-   * burst small requests that were late already took each piece of tombstones that came free, and
-   * those that could still have been in time waited behind them until they were late as well.
+   * <p>It also skips lanes behind a more urgent lane that waits for a slot or engine memory. Guards
+   * against small late requests that take each freed part of the memory while larger requests that
+   * could still meet their target wait behind them.
    */
   private Optional<PendingGrant> findNext(long nowMillis) {
     if (selector.freeSlots(ServiceClass.QUICK, nowMillis) <= 0) {
@@ -467,7 +470,7 @@
     return Optional.empty();
   }
 
-  /** All attempts of a lane need the same; only one that may not go everywhere leaves a chance. */
+  /** Finds the first attempt that fits; after one without excluded upstreams, none can fit. */
   private Optional<PendingGrant> findInLane(Collection<OrganisationLane> lane, long nowMillis) {
     int tried = 0;
     for (OrganisationLane organisationLane : lane) {
@@ -487,7 +490,7 @@
     return Optional.empty();
   }
 
-  /** Notes in a waiting attempt what it lacks now. */
+  /** Stores in a waiting attempt the resource that it lacks now. */
   private void diagnose(WaitingAttempt attempt, long nowMillis) {
     Optional<MissingResource> limit = attempt.organisation().missing(nowMillis);
     if (limit.isPresent()) {
@@ -554,7 +557,7 @@
     }
   }
 
-  /** Drops all attempts of a request, and lets no late message bring them back. */
+  /** Removes all attempts of a request and lets no late message restore them. */
   private void discard(RequestId request, long nowMillis) {
     WaitingAttempt queued = waiting.remove(request);
     if (queued != null) {
--- a/core/src/main/java/org/marjoramsail/core/placement/RetryingCallers.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/RetryingCallers.java
@@ -5,19 +5,18 @@
 import java.util.Map;
 
 /**
- * Knows callers again that were told to come back, by the content of what they send.
+ * Recognises retries of refused requests by a hash of their content.
  *
- * <p>Guards against the failure in which a caller waits as it was told, comes back into the same
- * burst and is refused for good: who comes back has its place before all others that are late.
+ * <p>Guards against the failure in which a caller waits for the time that the refusal stated,
+ * retries within the same burst and is refused again: a retry is served before all other late
+ * attempts.
  *
- * <p>It has none before those that can still be in time. Its own answer is late already, and each
- * that it overtook would be late as well and told to come back in turn: after a burst of five
- * seconds none of two thousand requests were in time for as long as a service had a fifth to spare,
- * where now all are (model of three servers, PlainOverloadTest).
+ * <p>A retry is not served before attempts that can still meet their target: those would become
+ * late and retry in turn, so that the backlog would outlast the burst.
  */
 final class RetryingCallers {
 
-  /** Callers that have not come back by then do not, milliseconds. */
+  /** Time after a refusal for which a retry is recognised. */
   private static final long RETENTION_MILLIS = 12_000;
 
   private static final int MAXIMUM_CALLERS = 4_096;
@@ -25,7 +24,7 @@
 
   private final Map<Long, Long> untilMillis = new LinkedHashMap<>();
 
-  /** Records that a caller was told to come back. */
+  /** Records that a request with this content was refused with a time to retry. */
   void recordRefusal(long content, long nowMillis) {
     if (content == NO_CONTENT) {
       return;
@@ -39,7 +38,7 @@
     }
   }
 
-  /** Whether a caller comes back; true once for each time that it was told to. */
+  /** Returns whether a request is a retry, and removes the record: true once for each refusal. */
   boolean isExpectedRetry(long content, long nowMillis) {
     Long until = untilMillis.remove(content);
     return until != null && nowMillis < until;
--- a/core/src/main/java/org/marjoramsail/core/placement/RunningAttempt.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/RunningAttempt.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** One attempt that holds slots. */
+/** Attempt that was granted and holds slots. */
 final class RunningAttempt {
 
   private final PlacementRequest request;
@@ -19,11 +19,12 @@
   private long phaseStartedAt;
 
   /**
-   * Creates an instance with what was reserved for it.
+   * Creates an attempt with the upstreams that were reserved for it.
    *
-   * @param prefill absent where the grant has none or this owner does not know it
-   * @param target absent where this owner does not know it
-   * @param uncachedTokens tokens of the prompt that are not expected in the reader's cache
+   * @param prefill absent if the grant has none or this owner does not know the upstream
+   * @param target absent if this owner does not know the upstream
+   * @param uncachedTokens prompt tokens that are not expected in the cache of the prefilling
+   *     upstream
    */
   RunningAttempt(
       PlacementRequest request,
@@ -68,7 +69,7 @@
     return target;
   }
 
-  /** The upstream that reads the prompt. */
+  /** Returns the upstream that prefills the prompt. */
   Optional<UpstreamState> prefillingUpstream() {
     return grant.mode().isTransferring() ? prefill : target;
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardView.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardView.java
@@ -9,13 +9,13 @@
 import org.marjoramsail.core.model.UpstreamRole;
 
 /**
- * What one shard looks like to operators.
+ * Snapshot of one shard for operators.
  *
- * @param shard which
+ * @param shard the shard
  * @param upstreams its upstreams
- * @param running the attempts that hold something
- * @param waiting the attempts that wait, in the order in which they would be served
- * @param organisations what each organisation uses here
+ * @param running attempts that hold slots
+ * @param waiting waiting attempts, in order of service
+ * @param organisations usage of each organisation in the shard
  */
 public record ShardView(
     ShardId shard,
@@ -25,18 +25,18 @@
     List<OrganisationView> organisations) {
 
   /**
-   * One upstream of the shard.
+   * Snapshot of one upstream of the shard.
    *
    * @param name its name
    * @param role its role
-   * @param availabilityZone where it stands
-   * @param slots how many requests it holds at most
-   * @param reserved how many are reserved here
-   * @param reportedRunning how many it last said that it holds
-   * @param available whether it gets new work
-   * @param state why not, or how well: available, leaving, drained, ejected, slow-start,
-   *     unreachable, limited by its own word
-   * @param cachedBlocks how many prefix blocks the index holds for it
+   * @param availabilityZone its availability zone
+   * @param slots maximum number of concurrent requests
+   * @param reserved slots reserved by this owner
+   * @param reportedRunning running requests in its last load report
+   * @param available whether it gets new requests
+   * @param state one of available, leaving, drained, ejected, slow-start, unreachable, and limited
+   *     for a rate limit that it reported itself
+   * @param cachedBlocks prefix blocks that the index holds for it
    */
   public record UpstreamView(
       UpstreamName name,
@@ -50,16 +50,16 @@
       int cachedBlocks) {}
 
   /**
-   * One attempt that holds something.
+   * Attempt that holds slots.
    *
    * @param request the request
-   * @param attempt the attempt
-   * @param organisation whose it is
-   * @param entry the daemon of its caller
-   * @param phase how far it is
-   * @param prefill the prefill upstream
-   * @param target the upstream that generates or answers
-   * @param runningMillis since when
+   * @param attempt number of the attempt
+   * @param organisation organisation of the caller
+   * @param entry daemon that received the request
+   * @param phase phase that the attempt has reached
+   * @param prefill prefill upstream, if there is one
+   * @param target upstream that generates the output or sends the response
+   * @param runningMillis time since the grant
    */
   public record RunningView(
       RequestId request,
@@ -72,18 +72,18 @@
       long runningMillis) {}
 
   /**
-   * One attempt that waits.
+   * Attempt that waits in the queue.
    *
    * @param request the request
-   * @param organisation whose it is
-   * @param entry the daemon of its caller
-   * @param rule the rule that matched it
-   * @param serviceClass its urgency
-   * @param place from one
-   * @param waitedMillis how long it has waited
-   * @param missing what it waits for: decode-slot, prefill-capacity, link, organisation-limit,
-   *     plain-slot
-   * @param estimatedWaitMillis how long it will still wait
+   * @param organisation organisation of the caller
+   * @param entry daemon that received the request
+   * @param rule rule that matched the request
+   * @param serviceClass urgency
+   * @param place position in the queue, from one
+   * @param waitedMillis time since arrival
+   * @param missing code of the resource that it waits for: decode-slot, prefill-capacity, link,
+   *     organisation-concurrency, organisation-rate, plain-slot or upstream
+   * @param estimatedWaitMillis estimated remaining wait
    */
   public record WaitingView(
       RequestId request,
@@ -97,13 +97,13 @@
       long estimatedWaitMillis) {}
 
   /**
-   * What an organisation uses.
+   * Usage of one organisation.
    *
    * @param organisation its name
-   * @param running its attempts that hold something
-   * @param waiting its attempts that wait
-   * @param requestsPerSecond started here, over the last seconds
-   * @param tokensPerSecond used here, over the last seconds
+   * @param running attempts that hold slots
+   * @param waiting attempts that wait
+   * @param requestsPerSecond requests started here, averaged over the last seconds
+   * @param tokensPerSecond tokens used here, averaged over the last seconds
    */
   public record OrganisationView(
       String organisation,
--- a/core/src/main/java/org/marjoramsail/core/placement/SlotReservations.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/SlotReservations.java
@@ -10,9 +10,9 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * The attempts of one shard that hold something, and what each holds: a slot of its target from
- * grant to end, a slot and queue space of its prefill upstream until the prompt is read, and its
- * share of two links until the upstream token.
+ * Tracks the running attempts of one shard and what each of them reserves: a slot of its target
+ * from grant to end, a slot and queue space of its prefill upstream until the prefill ends, and a
+ * share of two network links until the first token.
  */
 final class SlotReservations {
 
@@ -37,7 +37,7 @@
     return running.size();
   }
 
-  /** Reserves a choice, which must be free. */
+  /** Reserves the chosen upstreams, which must have free slots. */
   Grant grant(WaitingAttempt attempt, PlacementCandidate choice, long nowMillis) {
     PlacementRequest request = attempt.request();
     Grant grant = choice.toGrant(request);
@@ -81,7 +81,10 @@
     return grant;
   }
 
-  /** Awaits the upstream sign: of whoever reads the prompt, or of the target if it is read. */
+  /**
+   * Starts to expect the first output: from the prefilling upstream, or from the target if no
+   * prefill is needed.
+   */
   private static void expectFirstOutput(
       PlacementRequest request, PlacementCandidate choice, long nowMillis) {
     if (!request.isGeneration()) {
@@ -94,7 +97,7 @@
     upstream.progressWatchdog().awaitProgress(request.request(), request.entry(), expected, nowMillis);
   }
 
-  /** Counts an attempt that another owner granted, even beyond the slots that there are. */
+  /** Records an attempt that another owner granted, even if this exceeds the number of slots. */
   void restore(
       PlacementRequest request,
       Grant grant,
@@ -137,7 +140,10 @@
     running.put(request.request(), attempt);
   }
 
-  /** Moves an attempt on; a report of a phase that it has already reached changes nothing. */
+  /**
+   * Moves an attempt to a later phase; a report of a phase that it has already reached changes
+   * nothing.
+   */
   void progress(RunningAttempt attempt, AttemptReport report, long nowMillis) {
     boolean isOutdated = report.phase().compareTo(attempt.phase()) <= 0;
     if (isOutdated || report.phase() == AttemptPhase.ENDED) {
@@ -156,7 +162,7 @@
     attempt.enter(report.phase(), nowMillis);
   }
 
-  /** Releases all that an attempt still holds. */
+  /** Releases everything that an attempt still reserves. */
   void release(RunningAttempt attempt, long nowMillis) {
     stopExpectingProgress(attempt);
     if (attempt.phase() == AttemptPhase.PREFILLING) {
@@ -172,7 +178,7 @@
     running.remove(attempt.request().request());
   }
 
-  /** Takes from a completed attempt how long answers are and how long slots are held. */
+  /** Updates the estimates of output lengths and slot hold times from a completed attempt. */
   void learnCompletion(RunningAttempt attempt, AttemptReport report, long nowMillis) {
     estimates.learnHold(nowMillis - attempt.startedAt());
     if (!attempt.request().isGeneration()) {
@@ -191,7 +197,10 @@
     }
   }
 
-  /** Handles the sign by which a phase was reached, and awaits the next: a upstream piece. */
+  /**
+   * Records the progress by which a phase was reached, and expects the next: the first output
+   * chunk.
+   */
   private static void recordProgress(RunningAttempt attempt, AttemptPhase reached, long nowMillis) {
     stopExpectingProgress(attempt);
     if (reached == AttemptPhase.PREFILLED) {
@@ -239,8 +248,8 @@
       int uncachedTokens = Math.max(1, promptTokens - cached);
       prefillUpstream.get().learnPrefill(uncachedTokens, report.tookMillis(), nowMillis);
     }
-    // The index is a hint from late events: blocks that the engine did not have are taken out, and
-    // the prompt that it has just read is put in.
+    // The prefix index lags behind the engine's cache events: blocks that the engine did not have
+    // are removed, and those of the prompt that it has just prefilled are added.
     if (cached < attempt.expectedCachedTokens()) {
       int cachedBlocks = cached / UpstreamSelector.BLOCK_TOKENS;
       prefillUpstream.get().prefixes().removeBeyond(attempt.request().prefixHashes(), cachedBlocks);
@@ -259,7 +268,10 @@
     }
   }
 
-  /** Engines hold a fixed number of requests; one more would fail or slow down all others. */
+  /**
+   * Requires a free slot: an engine that gets more requests than it has slots fails them or slows
+   * down all others.
+   */
   private static void requireFree(UpstreamState upstream, long nowMillis) {
     if (upstream.freeSlots(nowMillis) <= 0) {
       throw new IllegalStateException(
@@ -267,7 +279,7 @@
     }
   }
 
-  /** The requests whose answers an upstream generates, as far as was reported. */
+  /** Returns the requests for which an upstream generates output according to the reports. */
   List<RequestId> generatingOn(UpstreamName upstream) {
     return running.values().stream()
         .filter(attempt -> attempt.phase() == AttemptPhase.GENERATING)
@@ -282,7 +294,10 @@
         .toList();
   }
 
-  /** Whether {@code entry} is the failed run or an earlier run of its host. */
+  /**
+   * Returns whether {@code entry} is the failed incarnation or an earlier incarnation of its host's
+   * daemon.
+   */
   static boolean isSameOrEarlierIncarnation(DaemonId entry, DaemonId failed) {
     return entry.equals(failed) || failed.supersedes(entry);
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/UsageSharing.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/UsageSharing.java
@@ -1,14 +1,19 @@
 package org.marjoramsail.core.placement;
 
-/** A placer that holds limits of organisations together with the placers of other shards. */
+/** Placer that enforces limits of organisations together with the placers of other shards. */
 public interface UsageSharing {
 
-  /** What the owners of other shards should hear. */
+  /**
+   * Returns the usage to send to the owners of other shards; it has no entries if none has to be
+   * sent.
+   */
   OrganisationUsageMessage usage(long nowMillis);
 
-  /** Handles what the owner of another shard told of its usage. */
+  /** Handles the usage that the owner of another shard sent. */
   void receiveUsage(OrganisationUsageMessage message, long nowMillis);
 
-  /** Sets which part of the daemons this owner sees; the others may decide for the same shards. */
+  /**
+   * Sets the share of the daemons that this owner sees; the other daemons may own the same shards.
+   */
   void fleetShare(double share, long nowMillis);
 }
--- a/core/src/main/java/org/marjoramsail/core/placement/WaitEstimator.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/WaitEstimator.java
@@ -5,13 +5,15 @@
 import org.marjoramsail.core.failure.RefusalReason;
 import org.marjoramsail.core.model.UpstreamRole;
 
-/** Predicts how long an attempt will wait, and refuses early what would wait too long. */
+/** Estimates how long an attempt will wait, and refuses attempts whose wait would be too long. */
 final class WaitEstimator {
 
-  /** A wait is believed to be at least that share of its estimate. */
+  /** Share of an estimated wait that is taken as certain when an attempt is refused for it. */
   private static final double CERTAIN_SHARE = 0.6;
 
-  /** Skipped lanes are served now and then, so that some capacity is always remaining for each. */
+  /**
+   * Minimum share of the capacity for less urgent lanes, which the queue serves even under load.
+   */
   private static final double MINIMUM_CAPACITY_SHARE = 0.1;
 
   private static final long MINIMUM_RETRY_MILLIS = 1_000;
@@ -33,13 +35,13 @@
   }
 
   /**
-   * The refusal of a waiting attempt that will not start in time.
+   * Returns the refusal of a waiting attempt that will not start before its deadline.
    *
-   * <p>What is beyond the limits of its organisation waits only as long as it can be in time: those
-   * beyond a limit are never caught up, and would take the places of its next requests.
+   * <p>An attempt above the rate limits of its organisation may wait only until its target: it
+   * would take credit from the organisation's next requests, which would then be late as well.
    *
-   * <p>Nothing is refused for a wait that is only guessed; what waits in vain then is refused when
-   * its time is over.
+   * <p>An attempt is not refused for a wait that follows from initial estimates only; it is refused
+   * when its time has passed.
    */
   Optional<Refusal> refusal(WaitingAttempt attempt, long nowMillis) {
     long remainingMillis = attempt.usefulUntil() - nowMillis;
@@ -50,9 +52,9 @@
             aheadInOrganisation, attempt.request().countedTokens(), nowMillis);
     if (rateMillis > Math.max(0, attempt.expiresAt() - nowMillis)) {
       String detail =
-          "The rates of "
+          "The rate limits of "
               + organisation.name()
-              + " leave no room for it: "
+              + " do not admit the request before its target: "
               + organisation.describeLimits(nowMillis)
               + ".";
       return Optional.of(Refusal.notRun(RefusalReason.ORGANISATION_RATE, detail, rateMillis));
@@ -64,17 +66,21 @@
     }
     long retryAfter = Math.max(MINIMUM_RETRY_MILLIS, (long) wait - remainingMillis);
     String detail =
-        "It would wait about " + Math.round(wait) + " ms for " + attempt.missing().code() + ".";
+        "The request would wait about "
+            + Math.round(wait)
+            + " ms for "
+            + attempt.missing().code()
+            + ".";
     return Optional.of(Refusal.notRun(attempt.missing().reason(), detail, retryAfter));
   }
 
   /**
-   * How long an attempt that has just come will wait, in milliseconds.
+   * Returns the estimated wait of an attempt that has just arrived, in milliseconds.
    *
-   * <p>More urgent classes are served first and keep taking what they took of late; the rest is for
-   * its lane. Ahead of it in the lane is never more than its organisation's fair share lets others
-   * take meanwhile: a flood of one organisation must not make the few requests of another look
-   * hopeless.
+   * <p>More urgent classes are served first and are assumed to continue at their recent rate; the
+   * remaining capacity serves the attempt's lane. Within the lane only as many attempts count as
+   * its organisation's fair share allows to be served before it. Guards against a flood from one
+   * organisation that makes the few requests of another look hopeless.
    */
   double waitMillis(WaitingAttempt attempt, long nowMillis) {
     WaitingQueue.WorkAhead ahead = queue.workAhead(attempt.lane(), nowMillis);
--- a/core/src/main/java/org/marjoramsail/core/placement/WaitingAttempt.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/WaitingAttempt.java
@@ -4,12 +4,14 @@
 import org.marjoramsail.core.model.ServiceClass;
 import org.marjoramsail.core.model.UpstreamName;
 
-/** One attempt in the queue of a shard. */
+/** Attempt that waits in the queue of a shard. */
 final class WaitingAttempt {
 
   private static final long NEVER = Long.MAX_VALUE;
 
-  /** Who comes back stands before all others that are late. */
+  /**
+   * Advantage of a retry in the order of late attempts, so that it comes before all others there.
+   */
   private static final long RETRY_ADVANTAGE_MILLIS = 60_000;
 
   private final PlacementRequest request;
@@ -31,11 +33,11 @@
   private MissingResource missing = MissingResource.DECODE_SLOT;
 
   /**
-   * Computes the times on the owner's clock.
+   * Creates an attempt and computes its times on the owner's clock.
    *
    * @param leastServiceMillis the least time from its start to its target
-   * @param needsPrefillUpstream whether a prefill upstream has to read its prompt
-   * @param isRetry whether its caller was told to come back and did
+   * @param needsPrefillUpstream whether a prefill upstream has to prefill its prompt
+   * @param isRetry whether its caller was refused with a time to retry and has retried
    */
   WaitingAttempt(
       PlacementRequest request,
@@ -73,7 +75,10 @@
         };
   }
 
-  /** How long until the result is late: the deadline for what may wait, else the first token. */
+  /**
+   * Returns the time until the result is late: until the deadline for a deferrable request, else
+   * until the first token is due.
+   */
   static long targetWithinMillis(PlacementRequest request) {
     long deadline = request.deadlineWithinMillis();
     return request.serviceClass().mayWait()
@@ -101,56 +106,59 @@
     return expiresAt;
   }
 
-  /** Until when an answer, in time or late, is worth a start. */
+  /** Returns the last time at which a start is worthwhile, even if the output is late. */
   long usefulUntil() {
     return usefulUntil;
   }
 
-  /** Whether it has missed its target and goes on waiting for a late answer. */
+  /** Returns whether it is still worthwhile after a missed target and has not yet been demoted. */
   boolean canWaitPastTarget() {
     return !late && usefulUntil > expiresAt;
   }
 
-  /** Gives up its target; from now on only its deadline counts. */
+  /** Gives up the target; only the deadline counts from now on. */
   void demote() {
     late = true;
     expiresAt = usefulUntil;
   }
 
-  /** How long until its answer is worth nothing, whether or not it is late by then. */
+  /** Returns the time until the output is of no use, whether or not it is late by then. */
   static long usefulWithinMillis(PlacementRequest request) {
     return request.serviceClass().isUsefulAfterTarget()
         ? request.deadlineWithinMillis()
         : targetWithinMillis(request);
   }
 
-  /** The order within its organisation and lane: by deadline where it may wait, else by arrival. */
+  /**
+   * Returns the sort key within its organisation and lane: deadline if it is deferrable, else
+   * arrival.
+   */
   long orderKey() {
     return effectiveClass.mayWait() ? targetAt : queuedAt;
   }
 
-  /** The lane in which it waits now; ageing raises it. */
+  /** Returns the lane in which it waits now; promotion and demotion change it. */
   int lane() {
     int first = late ? WaitingQueue.LATE_LANE : 2 * effectiveClass.rank();
     return first + (needsPrefillUpstream ? 1 : 0);
   }
 
-  /** When the queue has to look at it again. */
+  /** Returns when the queue has to handle it: at its promotion or its expiry. */
   long dueAt() {
     return Math.min(expiresAt, promoteAt);
   }
 
-  /** Whether it may wait in principle, but has hardly any time left to. */
+  /** Returns whether it is deferrable and its deadline is near. */
   boolean isNearDeadline() {
     return nearDeadline;
   }
 
   /**
-   * Raises it, once: a standard attempt by one class, where it is effectiveClass as if it had just
-   * come; a deferrable one within its lane, which is then effectiveClass more often.
+   * Promotes the attempt once: a standard attempt by one class, where it is queued as if it had
+   * just arrived; a deferrable attempt within its lane, which is then served more often.
    *
-   * <p>Under overload all that waits gets old. Would it go before what comes fresh in the higher
-   * class, that would be late too, and nothing at all would meet its target.
+   * <p>Guards against overload, in which all waiting attempts become old: served before new
+   * arrivals of the higher class, they would make those late as well.
    */
   void promote(long nowMillis) {
     if (effectiveClass == ServiceClass.DEFERRABLE) {
@@ -162,12 +170,12 @@
     promoteAt = NEVER;
   }
 
-  /** The prefill upstream on which its KV cache still lives. */
+  /** Returns the prefill upstream that still holds its KV cache. */
   Optional<UpstreamName> liveKv(long nowMillis) {
     return nowMillis < kvHeldUntil ? request.kvHeldBy() : Optional.empty();
   }
 
-  /** Whether some upstreams are closed to it that are open to others. */
+  /** Returns whether it excludes some upstreams that are open to others. */
   boolean isRestricted() {
     return request.alone() || !request.avoid().isEmpty();
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/WaitingQueue.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/WaitingQueue.java
@@ -10,21 +10,21 @@
 import org.marjoramsail.core.placement.OrganisationState.OrganisationLane;
 
 /**
- * The queue of one shard: for each class a lane of attempts that need a prefill upstream and one of
- * those that do not, in each lane start-time fair queueing between organisations, in each of these
- * by arrival or deadline.
+ * Queue of one shard with two lanes for each class: one for attempts that need a prefill upstream
+ * and one for the others. Each lane uses start-time fair queueing between organisations; the
+ * attempts of one organisation are ordered by arrival or deadline.
  *
- * <p>All changes cost the logarithm of what waits; nothing walks the queue.
+ * <p>Each change takes logarithmic time; no operation iterates over all waiting attempts.
  */
 final class WaitingQueue {
 
-  /** The first of the two lanes of attempts that are late and still wanted. */
+  /** Index of the first of the two lanes for attempts that have missed their target. */
   static final int LATE_LANE = 2 * ServiceClass.values().length;
 
-  /** Two for each class, without and with a prefill upstream, and two for what is late. */
+  /** Number of lanes: two for each class and two for attempts that have missed their target. */
   static final int LANES = LATE_LANE + 2;
 
-  /** The order of service within one lane of one organisation. */
+  /** Order of service within one lane of one organisation. */
   static final Comparator<WaitingAttempt> BY_ORDER =
       Comparator.comparingLong(WaitingAttempt::orderKey)
           .thenComparingLong(WaitingAttempt::sequence);
@@ -36,12 +36,12 @@
       Comparator.<OrganisationLane>comparingDouble(OrganisationLane::startTag)
           .thenComparing(lane -> lane.organisation().name());
 
-  /** After that many grants to other lanes, a lane that has attempts goes first. */
+  /** Number of grants to other lanes after which a non-empty lane goes first, by lane. */
   private static final int[] MAXIMUM_SKIPPED = {
     Integer.MAX_VALUE, 6, 6, 6, 12, 12, 12, 12, Integer.MAX_VALUE, Integer.MAX_VALUE
   };
 
-  /** The same for a lane with attempts that may wait but have hardly any time left to. */
+  /** The same limit for a lane with deferrable attempts whose deadline is near. */
   private static final int MAXIMUM_SKIPPED_NEAR_DEADLINE = 5;
 
   private final List<TreeSet<OrganisationLane>> lanes = new ArrayList<>();
@@ -67,7 +67,7 @@
     return due.size();
   }
 
-  /** What waits in one lane, and what the more urgent classes take. */
+  /** Returns the attempts in one lane and the load of the more urgent classes. */
   WorkAhead workAhead(int lane, long nowMillis) {
     int urgentCount = 0;
     double urgentTokens = 0;
@@ -88,7 +88,7 @@
         urgentPrefillTokens);
   }
 
-  /** The weights of all organisations that wait in any lane, each lane counted. */
+  /** Returns the sum of the weights of the waiting organisations, counted once for each lane. */
   double activeWeight() {
     return activeWeight;
   }
@@ -119,10 +119,10 @@
   }
 
   /**
-   * Removes an attempt that was granted, and charges its organisation and its lane.
+   * Removes a granted attempt and charges its organisation and its lane.
    *
-   * @param cost between organisations, in tokens
-   * @param prefillTokens tokens that a prefill upstream reads for it
+   * @param cost cost for the fair queueing between organisations, in tokens
+   * @param prefillTokens tokens that a prefill upstream prefills for it
    */
   void granted(WaitingAttempt attempt, double cost, double prefillTokens, long nowMillis) {
     int index = attempt.lane();
@@ -141,7 +141,7 @@
     }
   }
 
-  /** The lanes in the order in which they are to be served now. */
+  /** Returns the non-empty lanes in the order in which they are to be served now. */
   List<Lane> lanesInOrder() {
     List<Lane> ordered = new ArrayList<>(LANES);
     for (int lane = LANES - 1; lane >= 0; lane--) {
@@ -157,21 +157,21 @@
     return ordered;
   }
 
-  /** The attempt that time has made due, if there is one. */
+  /** Returns the earliest attempt that is due, if there is one. */
   Optional<WaitingAttempt> nextDue(long nowMillis) {
     return due.isEmpty() || due.first().dueAt() > nowMillis
         ? Optional.empty()
         : Optional.of(due.first());
   }
 
-  /** Puts an attempt that missed its target behind all that can still meet theirs. */
+  /** Moves an attempt that missed its target behind all that can still meet theirs. */
   void demote(WaitingAttempt attempt) {
     remove(attempt);
     attempt.demote();
     add(attempt);
   }
 
-  /** Moves an attempt up by one class. */
+  /** Promotes an attempt; see {@link WaitingAttempt#promote}. */
   void promote(WaitingAttempt attempt, long nowMillis) {
     remove(attempt);
     attempt.promote(nowMillis);
@@ -192,19 +192,19 @@
   }
 
   /**
-   * One lane.
+   * Lane of the queue.
    *
-   * @param index its number; lower ones are more urgent
-   * @param organisations those that wait in it, by their turn
+   * @param index number of the lane; lower ones are more urgent
+   * @param organisations organisations with waiting attempts, in order of service
    */
   record Lane(int index, Collection<OrganisationLane> organisations) {
 
-    /** Whether a prefill upstream has to read its prompts. */
+    /** Returns whether its prompts need a prefill upstream. */
     boolean needsPrefillUpstream() {
       return index % 2 == 1;
     }
 
-    /** Whether what would be served next in it waits for a slot or the memory of an engine. */
+    /** Returns whether its next attempt waits for a slot or the memory of an engine. */
     boolean isHeadWaitingForSlot(long nowMillis) {
       return organisations.stream()
           .filter(lane -> lane.organisation().missing(nowMillis).isEmpty())
@@ -216,14 +216,14 @@
   }
 
   /**
-   * What is served before a new attempt of some lane, and what is left for the lane.
+   * Load that is served before a new attempt of a lane.
    *
    * @param count attempts in the lane
    * @param tokens prompt tokens in the lane
    * @param urgentCount attempts in lanes of more urgent classes
-   * @param urgentTokens their tokens that prefill upstreams have to read
-   * @param urgentGrantsPerMilli grants of those lanes of late
-   * @param urgentPrefillTokensPerMilli tokens read for those lanes of late
+   * @param urgentTokens prompt tokens of those attempts that prefill upstreams have to prefill
+   * @param urgentGrantsPerMilli recent rate of grants to those lanes
+   * @param urgentPrefillTokensPerMilli recent rate of tokens prefilled for those lanes
    */
   record WorkAhead(
       int count,
--- a/core/src/test/java/org/marjoramsail/core/placement/LateBehindTimelyTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/LateBehindTimelyTest.java
@@ -12,9 +12,8 @@
 import org.marjoramsail.core.model.ServiceClass;
 
 /**
- * In a burst that lasted for ten seconds nearly every stream was late, though two thirds of them
- * could have been in time. The smaller of those that were late already slipped into each piece of
- * memory that came free, while the next that was still in time waited for a slightly larger one.
+ * Guards against late requests that take each freed part of an engine's memory while a slightly
+ * larger request that can still meet its target waits for more.
  */
 class LateBehindTimelyTest {
 
--- a/core/src/test/java/org/marjoramsail/core/placement/OrganisationRateTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/OrganisationRateTest.java
@@ -19,7 +19,7 @@
 import org.marjoramsail.core.failure.RefusalReason;
 import org.marjoramsail.core.model.ServiceClass;
 
-/** Limits of organisations in tokens, over several owners and their successors. */
+/** Tests token rate limits of organisations over several owners and their successors. */
 class OrganisationRateTest {
 
   private static final double PER_SECOND = 10_000;
@@ -28,7 +28,7 @@
   private static final int UPSTREAMS = 16;
   private static final int[] SLICES = {1, 4, 8};
 
-  /** What platforms of these sizes allow beyond a limit: a tenth, and rather more than a burst. */
+  /** Allowed excess over a limit as a factor; {@link #MAXIMUM_EXCESS_TOKENS} is added to it. */
   private static final double MAXIMUM_EXCESS_FACTOR = 1.1;
 
   private static final double MAXIMUM_EXCESS_TOKENS = 1.25 * BURST;
@@ -40,8 +40,8 @@
       pool(0, UPSTREAMS, 200, List.of(limitedInTokens("rosario", PER_SECOND, BURST)));
 
   /**
-   * A desk sent four times what it may. Its requests were kept for a rate that its newer requests
-   * used up, and all were refused seconds later, when no clerk could use the answer any more.
+   * Guards against requests above a rate limit that wait for credit, are overtaken by newer
+   * requests, and are refused only when their callers have no use for a response.
    */
   @Test
   void requestsAboveARateLimitAreRefusedAtOnceWithARetryTime() {
@@ -60,8 +60,8 @@
   }
 
   /**
-   * A small desk sent a request every other second, in turn to two owners. Each owner had kept the
-   * share of its limit that the desk had used there of late, which was none, and refused it.
+   * Guards against an owner that divides a rate by recent demand and so refuses the first request
+   * after a pause.
    */
   @Test
   void requestsFarApartAreNotRefusedBelowTheRateLimit() {
@@ -90,9 +90,8 @@
   }
 
   /**
-   * Hosts were restarted, and for a while two of them told what they had started as owners of one
-   * shard, in turn. Each word of the one made the next of the other count in full again, and all
-   * requests of an organisation far below its limit were refused for as long as both went on.
+   * Guards against two owners of one shard whose alternating messages are charged in full each
+   * time, so that all requests of an organisation below its limit are refused.
    */
   @Test
   void usageOfTwoOwnersOfOneShardIsCountedOnceEach() {
@@ -115,7 +114,7 @@
     assertThat(granted(place(other, "r", 20_000))).containsExactly("r");
   }
 
-  /** The same request that is placed again after a failure was counted when it was first placed. */
+  /** Guards against charging a request again when it is placed again after a failure. */
   @Test
   void aRetryIsNotChargedToATokenLimitAgain() {
     ReservingPlacer placer = placer(false);
@@ -149,8 +148,7 @@
   }
 
   /**
-   * Upstreams failed half of what they ran, and each retry took one from its organisation's limit
-   * in requests as well: its desk was refused at half of what it may send.
+   * Guards against retries after upstream failures that use up the organisation's request limit.
    */
   @Test
   void aRetryIsNotChargedToARequestLimit() {
@@ -166,10 +164,7 @@
     assertThat(granted(results)).hasSize(100);
   }
 
-  /**
-   * Hosts were restarted in turn while one organisation sent many times what it may: each new owner
-   * of a shard granted the whole burst once more, and engines got twice the limit.
-   */
+  /** Guards against new owners of a shard that each grant the whole burst once more. */
   @Property(tries = 30)
   void ownersAndTheirSuccessorsTogetherKeepToARateLimit(
       @ForAll long seed, @ForAll @IntRange(max = 2) int choice) {
@@ -183,7 +178,10 @@
     }
   }
 
-  /** An organisation that wants more than its limit gets nearly all of it, however it is spread. */
+  /**
+   * An organisation whose demand exceeds its limit gets nearly the whole limit, however the demand
+   * is spread over shards.
+   */
   @Property(tries = 30)
   void aRateLimitIsUsedUpWhenDemandExceedsIt(
       @ForAll long seed, @ForAll @IntRange(max = 2) int choice) {
@@ -209,7 +207,7 @@
         int changed = random.nextInt(shards);
         owners.set(changed, placer(changed, shards, true, now));
       }
-      // Four times the limit, more of it for the first shard than for the last.
+      // Demand is four times the limit; the last shard gets twice as much as each other shard.
       int arrivals = (int) (4 * PER_SECOND * STEP_MILLIS / 1_000 / REQUEST_TOKENS) + 1;
       for (int number = 0; number < arrivals; number++) {
         ReservingPlacer owner = owners.get(Math.min(shards - 1, random.nextInt(shards + 1)));
@@ -248,7 +246,7 @@
     return placer(0, 1, takenOver, 0);
   }
 
-  /** An owner of one of several shards, each of which could serve all that is arrivals. */
+  /** Creates an owner of one of several shards, each of which has the capacity for all requests. */
   private ReservingPlacer placer(int slice, int slices, boolean takenOver, long now) {
     ShardId shard = new ShardId("lector", "litoral", slice);
     PlacementSettings settings = PlacementSettings.defaults();
@@ -264,7 +262,7 @@
         now);
   }
 
-  /** Tokens that were granted, by second. */
+  /** Granted tokens by second. */
   private static final class Grants {
     private final List<Integer> tokens = new ArrayList<>();
 
--- a/core/src/test/java/org/marjoramsail/core/placement/OwnerFeedbackTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/OwnerFeedbackTest.java
@@ -17,7 +17,7 @@
 import org.marjoramsail.core.feedback.RelayedFeedback;
 import org.marjoramsail.core.model.UpstreamName;
 
-/** What an owner does with what hosts tell it of its upstreams. */
+/** Tests how an owner applies the feedback of upstreams that hosts relay. */
 class OwnerFeedbackTest {
 
   private static final long FIRST_START = 1_000;
@@ -27,7 +27,7 @@
   private final Configuration engines = startedAt(pool(2, 4, 16), FIRST_START);
   private final ReservingPlacer placer = PlacementFixtures.placer(engines);
 
-  /** A prefill engine in need is sent prompts as seldom as it says; the other one goes on. */
+  /** The limited prefill upstream gets prompts at its stated rate; the other one is unaffected. */
   @Test
   void aPrefillUpstreamWithARateLimitGetsNoMorePromptsThanThat() {
     placer.acceptFeedback(limit("prefill-0", FIRST_START, 2, 0), ENTRY, 0);
@@ -55,9 +55,7 @@
         .matches(accepted -> accepted.requestsPerSecond().isEmpty());
   }
 
-  /**
-   * A host that was told long ago asks for places; others have heard since that the need is over.
-   */
+  /** A host may relay old feedback after others have relayed that the limit has ended. */
   @Test
   void outdatedFeedbackDoesNotRestoreARateLimit() {
     placer.acceptFeedback(limit("decode-0", FIRST_START, 2, 0), ENTRY, 0);
--- a/core/src/test/java/org/marjoramsail/core/placement/PlainOverloadTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PlainOverloadTest.java
@@ -16,9 +16,8 @@
 import org.marjoramsail.core.model.RequestId;
 
 /**
- * For five seconds a third more lookups came than the plain service can answer, and for ten seconds
- * after that nearly all answers were late. Callers that were told to come back went before those
- * who came for the first time, made these late, and had them told to come back in turn.
+ * Guards against a backlog that outlasts a burst because retries are served before new requests,
+ * which then become late and retry in turn.
  */
 class PlainOverloadTest {
 
@@ -90,7 +89,7 @@
             timelyPlain(id, PLACE_MILLIS, DEADLINE_MILLIS, caller.content()), events.now()));
   }
 
-  /** Some seconds after the burst its backlog should be gone. */
+  /** Returns whether the caller arrived when the backlog of the burst should have been served. */
   private static boolean isAfterBurst(Caller caller) {
     return caller.firstMillis() > BURST_TO_MILLIS + 2_000;
   }
--- a/core/src/test/java/org/marjoramsail/core/placement/PlainPlacementTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PlainPlacementTest.java
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Every second lookup fails for minutes though other servers are well. One server answers each
-   * request with an error at once, so it always looks the least loaded and draws the most requests.
+   * Guards against an upstream that responds to each request with an error at once, appears least
+   * loaded and therefore attracts most requests.
    */
   @Test
   void anUpstreamThatKeepsFailingIsEjectedAndReadmittedSlowly() {
@@ -68,8 +68,7 @@
   }
 
   /**
-   * A whole service is refused although its servers are well. A shared dependency failed for a
-   * moment, every server answered with errors, and all were ejected together.
+   * Guards against ejecting all upstreams of a service when a shared dependency fails for a moment.
    */
   @Test
   void atMostAThirdOfAPoolIsEjected() {
@@ -86,9 +85,8 @@
   }
 
   /**
-   * After a restart hardly any lookup was served for a minute. Two of three servers were gone, the
-   * last one was slow for a moment, and was ejected for it again and again, each time for longer:
-   * one in three may be out, and the two that were gone did not count.
+   * Guards against ejecting the last available upstream: unavailable upstreams must not count
+   * towards the pool of which a third may be ejected.
    */
   @Test
   void theLastAvailableUpstreamIsNotEjected() {
@@ -103,7 +101,7 @@
     assertThat(onlyGrant(placer.place(lookup("next"), 1)).target().value()).isEqualTo("plain-2");
   }
 
-  /** Two of three servers fall silent: what they are sent is lost until they are left out. */
+  /** Two of three upstreams fail every request until they are ejected. */
   @Test
   void upstreamsThatFailEveryTimeAreEjectedWhileAnotherServes() {
     ReservingPlacer placer = plainPlacer(plainPool(3, 20));
--- a/core/src/test/java/org/marjoramsail/core/placement/ReservingPlacerFuzzTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/ReservingPlacerFuzzTest.java
@@ -20,14 +20,17 @@
 import org.marjoramsail.core.model.UpstreamRole;
 
 /**
- * Drives a placer with duplicated, late and crossed events, and checks it against a plain list of
- * who holds what.
+ * Sends duplicated, late and reordered events to a placer and compares it with a simple model of
+ * the reservations.
  */
 final class ReservingPlacerFuzzTest {
 
   private static final int SLOTS = 2;
 
-  /** A placer drops repeats of what ended that long ago at most, and only of its own attempts. */
+  /**
+   * Time for which a placer drops repeats of attempts that have ended; it drops only those of its
+   * own attempts.
+   */
   private static final long TOMBSTONE_MILLIS = 5_000;
 
   private static final int UPSTREAMS_OF_A_ROLE = 3;
@@ -48,7 +51,7 @@
     ENDED
   }
 
-  /** One request as its entry daemon knows it. */
+  /** Request in the state that its entry daemon has recorded. */
   private static final class Entry {
     private PlacementRequest request;
     private State state = State.WAITING;
@@ -72,7 +75,7 @@
     }
   }
 
-  /** The oracle. */
+  /** Model that predicts the reservations of the placer. */
   private static final class Model {
     private final Configuration configuration =
         PlacementFixtures.pool(UPSTREAMS_OF_A_ROLE, UPSTREAMS_OF_A_ROLE, SLOTS);
@@ -100,7 +103,9 @@
       check();
     }
 
-    /** Everything gets well and ends; then nothing may wait or be held. */
+    /**
+     * Makes all upstreams available and ends all attempts; then nothing may wait or be reserved.
+     */
     void drain() {
       for (String name : upstreams()) {
         take(placer.availability(new UpstreamName(name), true, now));
@@ -228,7 +233,10 @@
               });
     }
 
-    /** A report that shows less than is granted, as it would be before the grants arrived. */
+    /**
+     * Sends a load report that shows fewer requests than are granted, as if made before the grants
+     * arrived.
+     */
     private void lateLoad(int choice) {
       String name = upstreams().get(choice % upstreams().size());
       int reportedRunning = held(name) == 0 ? 0 : choice % (held(name) + 1);
@@ -257,7 +265,10 @@
       take(placer.daemonFailed(failed, now));
     }
 
-    /** The entries register what they hold with the new owner, some twice, and ask again. */
+    /**
+     * Replaces the owner; entry daemons place waiting requests again and restore grants, some
+     * twice.
+     */
     private void changeOwner(int choice) {
       placer =
           new ReservingPlacer(
@@ -307,7 +318,7 @@
       }
     }
 
-    /** An entry daemon that gets upstreams for what it no longer knows gives them back. */
+    /** Cancels a grant for a request that its entry daemon no longer has. */
     private void cancelUnknown(PlacementResult result) {
       if (result instanceof PlacementResult.Granted granted) {
         String name = result.request().value();
--- a/core/src/test/java/org/marjoramsail/core/placement/ReservingPlacerTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/ReservingPlacerTest.java
@@ -48,9 +48,8 @@
   }
 
   /**
-   * Prompts are read and their results thrown away at the peak, so that every answer is late. The
-   * prefill pool is idle while the decode pool is full; a prefill that starts then has no slot to
-   * go to when its KV cache expires.
+   * Guards against prefills that start while the decode pool is full: their KV cache expires before
+   * a decode slot is free.
    */
   @Test
   void noPromptIsPrefilledWhileNoDecodeSlotIsFree() {
@@ -66,8 +65,8 @@
   }
 
   /**
-   * An engine gets more than it holds right after a burst. Its load report was made before the
-   * burst and says that it is empty; the owner believes it and forgets its own grants.
+   * Guards against overfilling an engine after a load report that was made before the latest
+   * grants.
    */
   @Test
   void anOutdatedLoadReportDoesNotFreeAReservedSlot() {
@@ -91,8 +90,8 @@
   }
 
   /**
-   * After an owner died, engines get twice what they hold. The new owner knows none of the old
-   * grants and takes all slots for free before the entry daemons have registered again.
+   * Guards against a new owner that takes all slots as free before the entry daemons have restored
+   * the grants of the earlier owner.
    */
   @Test
   void aNewOwnerGrantsNothingUntilItHasRestoredReservations() {
@@ -129,8 +128,8 @@
   }
 
   /**
-   * A caller waits for ever though its request was granted. The grant was lost on the way; the
-   * entry asks again, and a second reservation would leave the first one held with no holder.
+   * Guards against a lost grant: the entry daemon repeats the request, and a second reservation
+   * would leave the first one without a holder.
    */
   @Test
   void aRepeatedRequestGetsTheSameGrantAgain() {
@@ -142,8 +141,7 @@
   }
 
   /**
-   * Slots vanish one by one over a day. A repeat of a request arrives after the attempt has ended,
-   * is granted once more, and nobody ever reports its end.
+   * Guards against slots that leak when a repeat of a request arrives after its attempt has ended.
    */
   @Test
   void aRequestThatArrivesAfterItsEndReservesNothing() {
@@ -166,9 +164,8 @@
   }
 
   /**
-   * A daemon stands still for longer than a suspicion lasts and goes on. For seconds its callers
-   * get no answer although it is alive for all: the owner still takes its requests for late ones of
-   * a dead daemon.
+   * Guards against an owner that drops the requests of a daemon that was paused, was declared
+   * failed and has recovered.
    */
   @Test
   void aRecoveredDaemonIsServedAtOnce() {
@@ -183,8 +180,8 @@
   }
 
   /**
-   * A prompt is read twice although its KV cache lives. The decode upstream died; the next attempt
-   * names the prefill upstream that still has the cache for some hundred milliseconds.
+   * Guards against prefilling a prompt again while the prefill upstream of the failed attempt still
+   * holds its KV cache.
    */
   @Test
   void anAttemptWithAHeldKvCacheGetsOnlyADecodeSlot() {
@@ -203,8 +200,8 @@
   }
 
   /**
-   * A poisonous request takes healthy ones with it, and nobody can tell which it was. Two suspects
-   * ran on the same engine when it crashed.
+   * Guards against two requests suspected of crashing engines that share an engine, so that the
+   * culprit cannot be identified.
    */
   @Test
   void twoSuspectsNeverShareAnUpstream() {
@@ -300,9 +297,8 @@
   }
 
   /**
-   * A caller far below its limits is told that its organisation sends too much. Its request has
-   * waited for an owner until its target had passed, and then meets one whose upstreams are away:
-   * the time left is negative, and no rate was ever the reason.
+   * Guards against refusing a request for a rate limit only because its target has passed: the time
+   * left is then negative although no rate delays the request.
    */
   @Test
   void aRequestThatArrivesAfterItsTargetIsNotRefusedForARateLimit() {
@@ -318,8 +314,8 @@
   }
 
   /**
-   * An organisation had waited for a slot and then reached its own limit. Slots came free, and the
-   * less urgent requests of all others waited behind it for as long as its limit held.
+   * Guards against an organisation at its own limit whose waiting requests block the less urgent
+   * requests of all others.
    */
   @Test
   void anOrganisationAtItsLimitDoesNotBlockOthers() {
--- a/core/src/test/java/org/marjoramsail/core/placement/RestartedUpstreamTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/RestartedUpstreamTest.java
@@ -16,9 +16,8 @@
   private static final int MEMORY_TOKENS = 7_000;
 
   /**
-   * An engine crashed with all that ran on it and was back under its name, empty. The daemon that
-   * held its streams was cut off and could not say that they were over, so the owner took the
-   * engine for full, and requests waited beside it.
+   * Guards against an owner that takes a restarted engine as full because the daemon whose streams
+   * ran on it could not report their end.
    */
   @Test
   void requestsOfAnEarlierIncarnationHoldNoSlotOnARestartedUpstream() {
@@ -33,7 +32,7 @@
     assertThat(granted(results)).containsExactly("next");
   }
 
-  /** The prompt of a request is still being read; its answer will come from the new life. */
+  /** The prefill of the request is in flight; the new incarnation will generate its output. */
   @Test
   void aRequestWhosePrefillIsInFlightKeepsItsSlot() {
     Configuration pool = PlacementFixtures.poolWithMemory(1, 1, 1, MEMORY_TOKENS);
--- a/core/src/test/java/org/marjoramsail/core/placement/TimelyPlacementTest.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/TimelyPlacementTest.java
@@ -16,7 +16,7 @@
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.model.UpstreamName;
 
-/** What becomes of requests that want a target and are still wanted after it. */
+/** Tests requests that have a latency target and are still useful after it. */
 class TimelyPlacementTest {
 
   private static final long TARGET = 100;
@@ -35,8 +35,8 @@
   }
 
   /**
-   * At the peak of a burst everything waits. Were it served in order of arrival, each answer would
-   * come just too late; what can still be in time goes before what is late already.
+   * Guards against service in order of arrival under overload, in which every response comes just
+   * too late.
    */
   @Test
   void requestsThatCanMeetTheirTargetAreServedBeforeLateOnes() {
@@ -49,7 +49,10 @@
     assertThat(granted(end("fresh", TARGET + 3))).containsExactly("late");
   }
 
-  /** A caller that would leave before its place comes is told at once that it has not run. */
+  /**
+   * Guards against a caller that waits until its deadline without learning that its request will
+   * not run.
+   */
   @Test
   void aRequestIsRefusedOnceItsDeadlineCannotBeMet() {
     place("r1", 0);
@@ -63,9 +66,11 @@
   }
 
   /**
-   * A clerk was told to come back, came back as told, and was refused again in the same burst while
-   * others that were as late as he was were served. Those that can still be in time go first: each
-   * that he overtook would be late as well, and be told to come back in turn.
+   * Guards against a caller that retries as the refusal stated and is refused again while other
+   * late requests are served.
+   *
+   * <p>Requests that can still meet their target are served first: a retry that overtook them would
+   * make them late.
    */
   @Test
   void aRetryAfterARefusalIsServedBeforeOtherLateRequests() {
@@ -82,7 +87,7 @@
     assertThat(granted(end("back", DEADLINE + 7 + TARGET))).containsExactly("late");
   }
 
-  /** An upstream that others fill as well says that it has no room: it is not at fault. */
+  /** An upstream may be filled by other clients; its response that it is full is not a failure. */
   @Test
   void anUpstreamThatIsFullIsTriedAgainSoon() {
     place("r1", 0);
@@ -103,8 +108,8 @@
   }
 
   /**
-   * All daemons were killed in a burst. The new owner had seen no answer yet, took the wait of the
-   * seventh lookup for longer than it had left, and so refused most of those that came after.
+   * Guards against a new owner that refuses requests for a wait that follows from initial estimates
+   * only.
    */
   @Test
   void nothingIsRefusedForAnEstimatedWaitBeforeResponsesWereMeasured() {
@@ -133,8 +138,8 @@
   }
 
   /**
-   * In a burst every lookup was granted just before its target and answered just after it. The time
-   * that the answer takes has to be left.
+   * Guards against requests that are granted just before their target and get their response just
+   * after it.
    */
   @Test
   void aRequestThatCanNoLongerMeetItsTargetYieldsToOneThatCan() {
