--- a/core/src/main/java/org/marjoramsail/core/placement/DirectPlacer.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/DirectPlacer.java
@@ -119,7 +119,8 @@
 
   @Override
   public final List<PlacementResult> daemonFailed(DaemonId daemon, long nowMillis) {
-    placed.values()
+    placed
+        .values()
         .removeIf(it -> SlotReservations.isSameOrEarlierIncarnation(it.request().entry(), daemon));
     return List.of();
   }
--- a/core/src/main/java/org/marjoramsail/core/placement/ShardUpstreams.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/ShardUpstreams.java
@@ -91,7 +91,9 @@
 
   /** Records that an entry daemon failed. */
   void daemonFailed(DaemonId entry) {
-    receivedAt.keySet().removeIf(daemon -> SlotReservations.isSameOrEarlierIncarnation(daemon, entry));
+    receivedAt
+        .keySet()
+        .removeIf(daemon -> SlotReservations.isSameOrEarlierIncarnation(daemon, entry));
   }
 
   /**
--- a/core/src/main/java/org/marjoramsail/core/placement/SlotReservations.java
+++ b/core/src/main/java/org/marjoramsail/core/placement/SlotReservations.java
@@ -94,7 +94,9 @@
         choice.isPrefillNeeded() ? choice.prefill().orElse(choice.target()) : choice.target();
     double expected =
         choice.isPrefillNeeded() ? upstream.queueMillis(nowMillis) : choice.transferMillis();
-    upstream.progressWatchdog().awaitProgress(request.request(), request.entry(), expected, nowMillis);
+    upstream
+        .progressWatchdog()
+        .awaitProgress(request.request(), request.entry(), expected, nowMillis);
   }
 
   /** Records an attempt that another owner granted, even if this exceeds the number of slots. */
