--- a/core/src/main/java/org/marjoramsail/core/outcome/AttemptLedger.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/AttemptHistory.java
@@ -10,26 +10,26 @@
 import org.marjoramsail.core.placement.AttemptResult;
 
 /** Keeps what is known of each attempt of one request: whether it may have run, and its reports. */
-final class AttemptLedger {
+final class AttemptHistory {
 
   private final RequestProfile profile;
   private final Invariants invariants;
   private final Set<Integer> possiblyRun = new HashSet<>(2);
   private final Set<Integer> endReported = new HashSet<>(2);
   private boolean claimRecorded;
-  private boolean arrived;
+  private boolean upstreamReached;
   private int sends;
 
-  AttemptLedger(RequestProfile profile, Invariants invariants) {
+  AttemptHistory(RequestProfile profile, Invariants invariants) {
     this.profile = profile;
     this.invariants = invariants;
   }
 
   /** Whether the invariants let an attempt be sent to where it runs. */
   boolean maySend() {
-    boolean once = profile.repeatability().isResendable() || possiblyRun.isEmpty();
+    boolean mayRunAgain = profile.repeatability().isResendable() || possiblyRun.isEmpty();
     boolean claimed = !profile.claimed() || claimRecorded;
-    return invariants.check(once, Invariant.AT_MOST_ONE_SEND, profile.id())
+    return invariants.check(mayRunAgain, Invariant.AT_MOST_ONE_SEND, profile.id())
         && invariants.check(claimed, Invariant.CLAIM_BEFORE_SEND, profile.id());
   }
 
@@ -41,7 +41,7 @@
     return claimRecorded;
   }
 
-  void sent(int attempt) {
+  void recordSend(int attempt) {
     possiblyRun.add(attempt);
     sends++;
   }
@@ -52,23 +52,23 @@
   }
 
   /** Takes back a send for which no connection came about; a prefill never counted. */
-  void neverSent(boolean prefill) {
+  void undoSend(boolean prefill) {
     if (!prefill) {
       sends--;
     }
   }
 
   /** Notes that an attempt reached an upstream, so that the next one is a repeat there. */
-  void arrived() {
-    arrived = true;
+  void upstreamReached() {
+    upstreamReached = true;
   }
 
   /** Whether an upstream has met the request, be it only to turn it away. */
-  boolean hasArrived() {
-    return arrived;
+  boolean hasReachedUpstream() {
+    return upstreamReached;
   }
 
-  void provenNotRun(int attempt) {
+  void markNotRun(int attempt) {
     possiblyRun.remove(attempt);
   }
 
@@ -88,11 +88,11 @@
     return mayHaveRun() || earlierMayHaveRun ? RunState.UNKNOWN : RunState.NOT_RUN;
   }
 
-  ClaimOutcome openOutcome() {
+  ClaimOutcome outcomeWithoutResponse() {
     return mayHaveRun() ? ClaimOutcome.UNKNOWN : ClaimOutcome.NOT_RUN;
   }
 
-  LifecycleAction progress(
+  LifecycleAction progressReport(
       int attempt, AttemptPhase phase, int cachedTokens, long tookMillis, int outputTokens) {
     return new LifecycleAction.Report(
         new AttemptReport(
@@ -107,7 +107,7 @@
   }
 
   /** The one report of an attempt's end; nothing when it was already given. */
-  Optional<LifecycleAction> end(
+  Optional<LifecycleAction> endReport(
       int attempt,
       AttemptResult result,
       Optional<UpstreamName> failedUpstream,
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
@@ -37,7 +37,7 @@
   private final HeldAttempts held;
   private final SuspectGuard suspects;
   private final KvCustody kv;
-  private final AttemptLedger ledger;
+  private final AttemptHistory history;
   private final BackOff backOff;
   private final FinalResponse last = new FinalResponse();
   private final RequestProgress progress;
@@ -78,7 +78,7 @@
             policy, (ended, upstream) -> quarantine.left(upstream, profile.id(), ended));
     this.suspects = new SuspectGuard(profile, policy, quarantine, held);
     this.kv = new KvCustody(policy, held);
-    this.ledger = new AttemptLedger(profile, invariants);
+    this.history = new AttemptHistory(profile, invariants);
     this.backOff = new BackOff(policy, random);
     this.nowMillis = profile.receivedAtMillis();
     this.progress = new RequestProgress(profile.receivedAtMillis());
@@ -155,11 +155,11 @@
   }
 
   void claimRecorded() {
-    if (state == LifecycleState.ENDED && !ledger.isClaimRecorded()) {
-      ledger.claimRecorded();
+    if (state == LifecycleState.ENDED && !history.isClaimRecorded()) {
+      history.claimRecorded();
       actions.add(new LifecycleAction.SettleClaim(ClaimOutcome.NOT_RUN));
     } else if (state == LifecycleState.CLAIMING) {
-      ledger.claimRecorded();
+      history.claimRecorded();
       tryToPlace();
     } else {
       drop(DropReason.LATE_EVENT);
@@ -253,7 +253,7 @@
       placeLater();
       return;
     }
-    if (!ledger.maySend()) {
+    if (!history.maySend()) {
       refuseFault();
       return;
     }
@@ -261,21 +261,21 @@
     progress.began();
     long estimateMillis = given.expectedPrefillMillis() + given.expectedTransferMillis();
     stallAfter(ESTIMATE_FACTOR * estimateMillis + policy.tokenStallMillis());
-    ledger.sent(attempt);
+    history.recordSend(attempt);
     held.add(attempt, given.target());
     suspects.began(attempt, given.target());
     actions.add(new LifecycleAction.SendDecode(attempt, given.target(), nextIndex, kv.source()));
   }
 
   private void sendPlain(Grant given) {
-    if (!ledger.maySend()) {
+    if (!history.maySend()) {
       refuseFault();
       return;
     }
     state = LifecycleState.PLAIN_RUNNING;
     stallAfter(policy.answerStallMillis());
     progress.asked(nowMillis);
-    ledger.sent(attempt);
+    history.recordSend(attempt);
     suspects.began(attempt, given.target());
     actions.add(new LifecycleAction.SendPlain(attempt, given.target()));
   }
@@ -400,7 +400,7 @@
       return;
     }
     UpstreamName upstream = grant.orElseThrow().target();
-    ledger.arrived();
+    history.upstreamReached();
     held.release(attempt, upstream);
     suspects.leave(attempt);
     kv.released();
@@ -418,7 +418,7 @@
   }
 
   private boolean mayTryAgain() {
-    return attempt < policy.maximumAttempts() && ledger.sends() < policy.maximumSends();
+    return attempt < policy.maximumAttempts() && history.sends() < policy.maximumSends();
   }
 
   void upstreamFailed(LifecycleEvent.UpstreamFailed failed) {
@@ -454,12 +454,12 @@
     }
     suspects.leave(attempt);
     if (failure.isNotRun()) {
-      ledger.provenNotRun(attempt);
+      history.markNotRun(attempt);
     }
     if (failure.isNeverSent()) {
-      ledger.neverSent(prefillFailed);
+      history.undoSend(prefillFailed);
     } else {
-      ledger.arrived();
+      history.upstreamReached();
     }
     actions.add(new LifecycleAction.CloseAttempt(attempt));
     actions.addAll(held.cancel(attempt, upstream, nowMillis));
@@ -469,7 +469,7 @@
     } else {
       avoid.add(upstream);
     }
-    if (ledger.mayHaveRun() && !profile.repeatability().isResendable()) {
+    if (history.mayHaveRun() && !profile.repeatability().isResendable()) {
       refuse(
           RefusalReason.UPSTREAM_FAILED,
           "The upstream failed after the send; the request may run only once.");
@@ -480,7 +480,7 @@
   }
 
   private void retry(RetryReason reason) {
-    boolean free = reason == RetryReason.UPSTREAM_LEAVING || !ledger.hasArrived();
+    boolean free = reason == RetryReason.UPSTREAM_LEAVING || !history.hasReachedUpstream();
     if (!mayTryAgain() || !(free || budget.trySpend())) {
       refuse(
           RefusalReason.RETRIES_EXHAUSTED,
@@ -501,12 +501,11 @@
       return;
     }
     last.callerGone();
-    // A plain call that may run only once is left to end, so that its claim can be settled with
-    // the truth; it holds no engine memory.
-    if (state == LifecycleState.PLAIN_RUNNING && ledger.isClaimRecorded()) {
+    // A claimed plain call runs to its end, so that its claim records the actual outcome.
+    if (state == LifecycleState.PLAIN_RUNNING && history.isClaimRecorded()) {
       return;
     }
-    end(AttemptResult.CANCELLED, ledger.openOutcome());
+    end(AttemptResult.CANCELLED, history.outcomeWithoutResponse());
   }
 
   void callerEnded(Refusal refusal) {
@@ -539,8 +538,8 @@
 
   /** Refuses with the run state that is known here, whatever the refusal itself says of one. */
   private void refuse(Refusal refusal) {
-    last.inPlaceOfAnswer(refusal, ledger.runState()).ifPresent(this::answer);
-    end(AttemptResult.CANCELLED, ledger.openOutcome());
+    last.inPlaceOfAnswer(refusal, history.runState()).ifPresent(this::answer);
+    end(AttemptResult.CANCELLED, history.outcomeWithoutResponse());
   }
 
   private void answer(LifecycleAction action) {
@@ -562,7 +561,7 @@
       actions.add(new LifecycleAction.Withdraw(profile.id()));
     }
     reportEnd(result, Optional.empty());
-    if (ledger.isClaimRecorded()) {
+    if (history.isClaimRecorded()) {
       actions.add(new LifecycleAction.SettleClaim(outcome));
     }
     kv.releaseExpired(nowMillis);
@@ -570,14 +569,15 @@
   }
 
   private void report(AttemptPhase phase, int cachedTokens, long tookMillis) {
-    actions.add(ledger.progress(attempt, phase, cachedTokens, tookMillis, generatedTokens()));
+    actions.add(
+        history.progressReport(attempt, phase, cachedTokens, tookMillis, generatedTokens()));
   }
 
   private void reportEnd(AttemptResult result, Optional<UpstreamName> failedUpstream) {
     if (grant.isPresent()) {
       grant = Optional.empty();
-      ledger
-          .end(attempt, result, failedUpstream, generatedTokens(), progress)
+      history
+          .endReport(attempt, result, failedUpstream, generatedTokens(), progress)
           .ifPresent(actions::add);
     }
   }
