--- a/core/src/main/java/org/marjoramsail/core/outcome/KvCustody.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/KvTransferState.java
@@ -5,13 +5,13 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /** The KV cache of one request between its prefill and its import by a decode upstream. */
-final class KvCustody {
+final class KvTransferState {
 
   private final LifecyclePolicy policy;
   private final HeldAttempts held;
   private Optional<KvSource> source = Optional.empty();
 
-  KvCustody(LifecyclePolicy policy, HeldAttempts held) {
+  KvTransferState(LifecyclePolicy policy, HeldAttempts held) {
     this.policy = policy;
     this.held = held;
   }
@@ -20,43 +20,44 @@
     return source;
   }
 
-  void take(KvSource made) {
-    source = Optional.of(made);
+  void store(KvSource newSource) {
+    source = Optional.of(newSource);
   }
 
   /** The KV cache, when enough of its life remains for another decode upstream to fetch it. */
-  Optional<KvSource> living(long nowMillis) {
-    return source.filter(kept -> nowMillis + policy.kvMarginMillis() < kept.expiresAtMillis());
+  Optional<KvSource> usable(long nowMillis) {
+    return source.filter(
+        current -> nowMillis + policy.kvMarginMillis() < current.expiresAtMillis());
   }
 
-  boolean isLivingOn(Optional<UpstreamName> holder, long nowMillis) {
-    return living(nowMillis)
+  boolean isUsableOn(Optional<UpstreamName> holder, long nowMillis) {
+    return usable(nowMillis)
         .map(KvSource::holder)
-        .filter(one -> holder.equals(Optional.of(one)))
+        .filter(current -> holder.equals(Optional.of(current)))
         .isPresent();
   }
 
   /** The decode upstream has imported it, or says that it is gone: its holder has nothing. */
-  void released() {
-    source.ifPresent(kept -> held.release(kept.attempt(), kept.holder()));
+  void release() {
+    source.ifPresent(current -> held.release(current.attempt(), current.holder()));
     source = Optional.empty();
   }
 
   void releaseExpired(long nowMillis) {
-    if (source.filter(kept -> nowMillis >= kept.expiresAtMillis()).isPresent()) {
-      released();
+    if (source.filter(current -> nowMillis >= current.expiresAtMillis()).isPresent()) {
+      release();
     }
   }
 
   void holderRestarted(UpstreamName holder) {
-    source = source.filter(kept -> !kept.holder().equals(holder));
+    source = source.filter(current -> !current.holder().equals(holder));
   }
 
   /** Has its holder drop it, since another prefill takes its place. */
   List<LifecycleAction> cancel(long nowMillis) {
     List<LifecycleAction> cancels =
         source
-            .map(kept -> held.cancel(kept.attempt(), kept.holder(), nowMillis))
+            .map(current -> held.cancel(current.attempt(), current.holder(), nowMillis))
             .orElseGet(List::of);
     source = Optional.empty();
     return cancels;
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
@@ -36,7 +36,7 @@
 
   private final HeldAttempts held;
   private final SuspectGuard suspects;
-  private final KvCustody kv;
+  private final KvTransferState kv;
   private final AttemptHistory history;
   private final BackOff backOff;
   private final FinalResponse last = new FinalResponse();
@@ -77,7 +77,7 @@
         new HeldAttempts(
             policy, (ended, upstream) -> quarantine.left(upstream, profile.id(), ended));
     this.suspects = new SuspectGuard(profile, policy, quarantine, held);
-    this.kv = new KvCustody(policy, held);
+    this.kv = new KvTransferState(policy, held);
     this.history = new AttemptHistory(profile, invariants);
     this.backOff = new BackOff(policy, random);
     this.nowMillis = profile.receivedAtMillis();
@@ -198,7 +198,7 @@
     long usefulUntilMillis =
         Math.min(profile.deadlineAtMillis(), progress.patientUntilMillis(policy.patienceMillis()));
     return new PlacementAsk(
-            profile, attempt, generatedTokens(), usefulUntilMillis, kv.living(nowMillis))
+            profile, attempt, generatedTokens(), usefulUntilMillis, kv.usable(nowMillis))
         .at(nowMillis, alone ? suspects.avoided(avoid) : List.copyOf(avoid), alone);
   }
 
@@ -218,7 +218,7 @@
     } else if (given.mode() == GrantMode.LOCAL_PREFILL) {
       actions.addAll(kv.cancel(nowMillis));
       sendDecode(given);
-    } else if (kv.isLivingOn(given.prefill(), nowMillis)) {
+    } else if (kv.isUsableOn(given.prefill(), nowMillis)) {
       sendDecode(given);
     } else {
       actions.addAll(kv.cancel(nowMillis));
@@ -307,7 +307,7 @@
     UpstreamName holder = current.prefill().orElseThrow();
     suspects.leave(attempt);
     suspects.left(attempt, holder);
-    kv.take(
+    kv.store(
         new KvSource(
             holder,
             attempt,
@@ -349,7 +349,7 @@
     }
     frameSeen = true;
     suspects.showedLife(attempt);
-    kv.released();
+    kv.release();
     report(AttemptPhase.GENERATING, 0, 0);
   }
 
@@ -403,7 +403,7 @@
     history.upstreamReached();
     held.release(attempt, upstream);
     suspects.leave(attempt);
-    kv.released();
+    kv.release();
     last.keep(attempt);
     reportEnd(AttemptResult.FAILED, Optional.of(upstream));
     if (!profile.repeatability().isResendable() || !mayTryAgain() || !budget.trySpend()) {
@@ -465,7 +465,7 @@
     actions.addAll(held.cancel(attempt, upstream, nowMillis));
     reportEnd(failure.attemptResult(), Optional.of(upstream));
     if (failure == UpstreamFailure.KV_EXPIRED) {
-      kv.released();
+      kv.release();
     } else {
       avoid.add(upstream);
     }
@@ -488,7 +488,7 @@
       return;
     }
     actions.add(new LifecycleAction.CountRetry(reason));
-    if (kv.living(nowMillis).isPresent()) {
+    if (kv.usable(nowMillis).isPresent()) {
       tryToPlace();
       return;
     }
