--- a/core/src/main/java/org/marjoramsail/core/outcome/FinalResponse.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/FinalResponse.java
@@ -13,16 +13,16 @@
  */
 final class FinalResponse {
 
-  private boolean callerGone;
+  private boolean callerDisconnected;
   private boolean given;
   private OptionalInt failedAttempt = OptionalInt.empty();
 
-  void callerGone() {
-    callerGone = true;
+  void callerDisconnected() {
+    callerDisconnected = true;
   }
 
-  boolean isCallerGone() {
-    return callerGone;
+  boolean isCallerDisconnected() {
+    return callerDisconnected;
   }
 
   /** Whether an end was given already. */
@@ -44,7 +44,7 @@
 
   /** What the caller gets in place of a whole answer; nothing when it has left. */
   Optional<LifecycleAction> inPlaceOfAnswer(Refusal refusal, RunState known) {
-    if (callerGone) {
+    if (callerDisconnected) {
       return Optional.empty();
     }
     if (failedAttempt.isPresent()) {
--- a/core/src/main/java/org/marjoramsail/core/outcome/LifecycleDispatch.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/LifecycleDispatch.java
@@ -45,8 +45,8 @@
       lifecycle.granted(granted.grant());
     } else if (event instanceof LifecycleEvent.PlacementRefused refused) {
       lifecycle.placementRefused(refused);
-    } else if (event instanceof LifecycleEvent.CallerGone) {
-      lifecycle.callerGone();
+    } else if (event instanceof LifecycleEvent.CallerDisconnected) {
+      lifecycle.callerDisconnected();
     } else if (event instanceof LifecycleEvent.CallerEnded ended) {
       lifecycle.callerEnded(ended.refusal());
     } else if (event instanceof LifecycleEvent.TimePassed) {
--- a/core/src/main/java/org/marjoramsail/core/outcome/LifecycleEvent.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/LifecycleEvent.java
@@ -110,7 +110,7 @@
       implements LifecycleEvent {}
 
   /** The caller has closed its connection. */
-  record CallerGone() implements LifecycleEvent {}
+  record CallerDisconnected() implements LifecycleEvent {}
 
   /**
    * The caller is ended by this daemon, for instance since it reads too slowly.
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
@@ -381,7 +381,7 @@
       return;
     }
     progress.answered(nowMillis);
-    if (!last.isCallerGone()) {
+    if (!last.isCallerDisconnected()) {
       answer(new LifecycleAction.DeliverResponse(attempt));
     }
     suspects.completed(nowMillis);
@@ -496,11 +496,11 @@
     waitUntilMillis = nowMillis + backOff.nextMillis();
   }
 
-  void callerGone() {
+  void callerDisconnected() {
     if (state == LifecycleState.ENDED) {
       return;
     }
-    last.callerGone();
+    last.callerDisconnected();
     // A claimed plain call runs to its end, so that its claim records the actual outcome.
     if (state == LifecycleState.PLAIN_RUNNING && history.isClaimRecorded()) {
       return;
--- a/core/src/test/java/org/marjoramsail/core/outcome/FuzzedRequest.java
+++ b/core/src/test/java/org/marjoramsail/core/outcome/FuzzedRequest.java
@@ -25,7 +25,7 @@
   Optional<FuzzedUpstream> reservedAlone = Optional.empty();
   int waitingAttempt;
   int runs;
-  boolean callerGone;
+  boolean callerDisconnected;
 
   FuzzedRequest(RequestLifecycle lifecycle, boolean poisonous) {
     this.lifecycle = lifecycle;
@@ -89,7 +89,7 @@
   /** Checks it once nothing is under way. */
   void checkAtTheEnd() {
     assertThat(lifecycle.isSettled()).as("settled: " + lifecycle.state()).isTrue();
-    assertThat(ends).as("one end").hasSizeBetween(callerGone ? 0 : 1, 1);
+    assertThat(ends).as("one end").hasSizeBetween(callerDisconnected ? 0 : 1, 1);
     assertThat(endReports.keySet())
         .as("ended attempts")
         .containsExactlyInAnyOrderElementsOf(granted);
--- a/core/src/test/java/org/marjoramsail/core/outcome/FuzzedWorld.java
+++ b/core/src/test/java/org/marjoramsail/core/outcome/FuzzedWorld.java
@@ -76,7 +76,7 @@
       case 11 -> crashByChance(detail);
       case 12 -> advance(detail % 50);
       case 13 -> advance(detail % 20_000);
-      case 14 -> callerGone(detail);
+      case 14 -> callerDisconnected(detail);
       default -> submit(detail);
     }
   }
@@ -242,11 +242,11 @@
     }
   }
 
-  private void callerGone(int detail) {
+  private void callerDisconnected(int detail) {
     FuzzedRequest request = requests.get(detail % requests.size());
     if (request.ends.isEmpty()) {
-      request.callerGone = true;
-      tell(request, new LifecycleEvent.CallerGone());
+      request.callerDisconnected = true;
+      tell(request, new LifecycleEvent.CallerDisconnected());
     }
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHandler.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHandler.java
@@ -160,7 +160,7 @@
                         Timeliness.ANY_PAUSE),
                     sink,
                     task -> context.runOnContext(ignored -> task.run())));
-    request.response().closeHandler(closed -> handle.callerGone());
+    request.response().closeHandler(closed -> handle.callerDisconnected());
     return handle;
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -286,7 +286,7 @@
                     new Timeliness(route.targetMillis(), route.gapTargetMillis()),
                     exchange,
                     task -> context.runOnContext(ignored -> task.run())));
-    request.response().closeHandler(closed -> handle.callerGone());
+    request.response().closeHandler(closed -> handle.callerDisconnected());
   }
 
   private RequestProfile profileOf(ForwardedRequest request, Arrival arrival) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/LiveRequest.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/LiveRequest.java
@@ -54,7 +54,7 @@
   void deliver(LifecycleEvent event) {
     synchronized (shardLock) {
       if (event instanceof LifecycleEvent.CallerEnded
-          || event instanceof LifecycleEvent.CallerGone) {
+          || event instanceof LifecycleEvent.CallerDisconnected) {
         mailbox.addFirst(event);
       } else {
         mailbox.addLast(event);
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestHandle.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestHandle.java
@@ -6,7 +6,7 @@
 public interface RequestHandle {
 
   /** Tells that the caller has closed its connection. */
-  void callerGone();
+  void callerDisconnected();
 
   /** Ends the request from the caller's side, for instance since it reads too slowly. */
   void end(Refusal refusal);
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
@@ -188,8 +188,8 @@
 
   private record Handle(LiveRequest live) implements RequestHandle {
     @Override
-    public void callerGone() {
-      live.deliver(new LifecycleEvent.CallerGone());
+    public void callerDisconnected() {
+      live.deliver(new LifecycleEvent.CallerDisconnected());
     }
 
     @Override
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/Tracing.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/Tracing.java
@@ -29,7 +29,7 @@
           Optional.of(reason));
     } else if (event instanceof LifecycleEvent.Prefilled prefilled) {
       add(trace, nowMillis, TraceKind.PREFILLED, prefilled.attempt(), Optional.empty());
-    } else if (event instanceof LifecycleEvent.CallerGone) {
+    } else if (event instanceof LifecycleEvent.CallerDisconnected) {
       add(trace, nowMillis, TraceKind.CALLER_GONE, lifecycle.attempt(), Optional.empty());
     }
     actions.forEach(action -> noteAction(trace, nowMillis, lifecycle.attempt(), action));
