--- a/core/src/main/java/org/marjoramsail/core/outcome/KvTransferState.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/KvTransferState.java
@@ -8,12 +8,12 @@
 final class KvTransferState {
 
   private final LifecyclePolicy policy;
-  private final HeldAttempts held;
+  private final OutstandingAttempts outstanding;
   private Optional<KvSource> source = Optional.empty();
 
-  KvTransferState(LifecyclePolicy policy, HeldAttempts held) {
+  KvTransferState(LifecyclePolicy policy, OutstandingAttempts outstanding) {
     this.policy = policy;
-    this.held = held;
+    this.outstanding = outstanding;
   }
 
   Optional<KvSource> source() {
@@ -39,7 +39,7 @@
 
   /** The decode upstream has imported it, or says that it is gone: its holder has nothing. */
   void release() {
-    source.ifPresent(current -> held.release(current.attempt(), current.holder()));
+    source.ifPresent(current -> outstanding.release(current.attempt(), current.holder()));
     source = Optional.empty();
   }
 
@@ -57,7 +57,7 @@
   List<LifecycleAction> cancel(long nowMillis) {
     List<LifecycleAction> cancels =
         source
-            .map(current -> held.cancel(current.attempt(), current.holder(), nowMillis))
+            .map(current -> outstanding.cancel(current.attempt(), current.holder(), nowMillis))
             .orElseGet(List::of);
     source = Optional.empty();
     return cancels;
--- /dev/null
+++ b/core/src/main/java/org/marjoramsail/core/outcome/OutstandingAttempts.java
@@ -0,0 +1,129 @@
+package org.marjoramsail.core.outcome;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.BiConsumer;
+import java.util.function.Predicate;
+import org.marjoramsail.core.model.UpstreamName;
+
+/**
+ * What upstreams may still hold of each request, and the cancels that are under way.
+ *
+ * <p>Guards against the failure in which a cancel is lost and an engine keeps memory for a caller
+ * who is removed: each cancel is repeated until the upstream confirms it or has started anew.
+ */
+final class OutstandingAttempts {
+
+  private static final class OutstandingAttempt {
+    private final int attempt;
+    private final UpstreamName upstream;
+    private boolean cancelling;
+    private long firstCancelAtMillis;
+    private long repeatAtMillis;
+    private long waitMillis;
+
+    private OutstandingAttempt(int attempt, UpstreamName upstream) {
+      this.attempt = attempt;
+      this.upstream = upstream;
+    }
+
+    private boolean matches(int otherAttempt, UpstreamName otherUpstream) {
+      return attempt == otherAttempt && upstream.equals(otherUpstream);
+    }
+  }
+
+  private final LifecyclePolicy policy;
+  private final BiConsumer<Integer, UpstreamName> releaseListener;
+  private final List<OutstandingAttempt> outstanding = new ArrayList<>(2);
+
+  /**
+   * Starts empty.
+   *
+   * @param policy how often cancels are repeated
+   * @param releaseListener hears each attempt and upstream that holds nothing any more
+   */
+  OutstandingAttempts(LifecyclePolicy policy, BiConsumer<Integer, UpstreamName> releaseListener) {
+    this.policy = policy;
+    this.releaseListener = releaseListener;
+  }
+
+  void add(int attempt, UpstreamName upstream) {
+    outstanding.add(new OutstandingAttempt(attempt, upstream));
+  }
+
+  void release(int attempt, UpstreamName upstream) {
+    removeIf(each -> each.matches(attempt, upstream));
+  }
+
+  void releaseAll(UpstreamName upstream) {
+    removeIf(each -> each.upstream.equals(upstream));
+  }
+
+  boolean isOutstanding(int attempt, UpstreamName upstream) {
+    return outstanding.stream().anyMatch(each -> each.matches(attempt, upstream));
+  }
+
+  private void removeIf(Predicate<OutstandingAttempt> condition) {
+    List<OutstandingAttempt> removed = outstanding.stream().filter(condition).toList();
+    outstanding.removeAll(removed);
+    removed.forEach(each -> releaseListener.accept(each.attempt, each.upstream));
+  }
+
+  boolean isEmpty() {
+    return outstanding.isEmpty();
+  }
+
+  /** Starts to cancel each attempt, unless the upstream is known to hold nothing of it. */
+  List<LifecycleAction> cancel(int attempt, UpstreamName upstream, long nowMillis) {
+    List<LifecycleAction> actions = new ArrayList<>(1);
+    outstanding.stream()
+        .filter(each -> each.matches(attempt, upstream) && !each.cancelling)
+        .forEach(each -> actions.add(startCancel(each, nowMillis)));
+    return actions;
+  }
+
+  /** Starts to cancel everything that is outstanding. */
+  List<LifecycleAction> cancelAll(long nowMillis) {
+    List<LifecycleAction> actions = new ArrayList<>(outstanding.size());
+    outstanding.stream()
+        .filter(each -> !each.cancelling)
+        .forEach(each -> actions.add(startCancel(each, nowMillis)));
+    return actions;
+  }
+
+  /** Repeats the cancels that are due, and gives up those that are too old. */
+  List<LifecycleAction> repeatCancels(long nowMillis) {
+    List<LifecycleAction> actions = new ArrayList<>();
+    for (OutstandingAttempt each : List.copyOf(outstanding)) {
+      if (!each.cancelling || nowMillis < each.repeatAtMillis) {
+        continue;
+      }
+      if (nowMillis - each.firstCancelAtMillis >= policy.cancelGiveUpMillis()) {
+        removeIf(other -> other == each);
+        actions.add(new LifecycleAction.CountDrop(DropReason.ABANDONED_CANCEL));
+        continue;
+      }
+      each.waitMillis = Math.min(policy.cancelRepeatLimitMillis(), each.waitMillis * 2);
+      each.repeatAtMillis = nowMillis + each.waitMillis;
+      actions.add(new LifecycleAction.Cancel(each.attempt, each.upstream));
+    }
+    return actions;
+  }
+
+  /** When the next cancel is due. */
+  Optional<Long> nextRepeatAtMillis() {
+    return outstanding.stream()
+        .filter(each -> each.cancelling)
+        .map(each -> each.repeatAtMillis)
+        .min(Long::compare);
+  }
+
+  private LifecycleAction startCancel(OutstandingAttempt each, long nowMillis) {
+    each.cancelling = true;
+    each.firstCancelAtMillis = nowMillis;
+    each.waitMillis = policy.cancelRepeatMillis();
+    each.repeatAtMillis = nowMillis + each.waitMillis;
+    return new LifecycleAction.Cancel(each.attempt, each.upstream);
+  }
+}
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
@@ -34,7 +34,7 @@
   private final RetryBudget budget;
   private final Invariants invariants;
 
-  private final HeldAttempts held;
+  private final OutstandingAttempts outstanding;
   private final SuspectGuard suspects;
   private final KvTransferState kv;
   private final AttemptHistory history;
@@ -73,11 +73,11 @@
     this.policy = policy;
     this.budget = budget;
     this.invariants = invariants;
-    this.held =
-        new HeldAttempts(
+    this.outstanding =
+        new OutstandingAttempts(
             policy, (ended, upstream) -> quarantine.left(upstream, profile.id(), ended));
-    this.suspects = new SuspectGuard(profile, policy, quarantine, held);
-    this.kv = new KvTransferState(policy, held);
+    this.suspects = new SuspectGuard(profile, policy, quarantine, outstanding);
+    this.kv = new KvTransferState(policy, outstanding);
     this.history = new AttemptHistory(profile, invariants);
     this.backOff = new BackOff(policy, random);
     this.nowMillis = profile.receivedAtMillis();
@@ -111,7 +111,7 @@
 
   /** Whether it has ended and no upstream can hold anything of it. */
   public boolean isSettled() {
-    return state == LifecycleState.ENDED && held.isEmpty();
+    return state == LifecycleState.ENDED && outstanding.isEmpty();
   }
 
   /** When the next {@link LifecycleEvent.TimePassed} is due. */
@@ -121,7 +121,7 @@
         state == LifecycleState.ENDED
             ? Stream.empty()
             : Stream.of(profile.deadlineAtMillis(), progress.stallAtMillis(), backOffEnds);
-    return Stream.concat(own, held.nextRepeatMillis().stream()).min(Long::compare);
+    return Stream.concat(own, outstanding.nextRepeatAtMillis().stream()).min(Long::compare);
   }
 
   /**
@@ -239,7 +239,7 @@
     state = LifecycleState.PREFILLING;
     progress.expectUntil(
         nowMillis + ESTIMATE_FACTOR * given.expectedPrefillMillis() + policy.prefillStallMillis());
-    held.add(attempt, upstream);
+    outstanding.add(attempt, upstream);
     suspects.began(attempt, upstream);
     actions.add(new LifecycleAction.SendPrefill(attempt, upstream));
   }
@@ -262,7 +262,7 @@
     long estimateMillis = given.expectedPrefillMillis() + given.expectedTransferMillis();
     stallAfter(ESTIMATE_FACTOR * estimateMillis + policy.tokenStallMillis());
     history.recordSend(attempt);
-    held.add(attempt, given.target());
+    outstanding.add(attempt, given.target());
     suspects.began(attempt, given.target());
     actions.add(new LifecycleAction.SendDecode(attempt, given.target(), nextIndex, kv.source()));
   }
@@ -362,7 +362,7 @@
       failCurrent(UpstreamFailure.MALFORMED);
     } else {
       firstFrame();
-      held.release(attempt, grant.orElseThrow().target());
+      outstanding.release(attempt, grant.orElseThrow().target());
       answer(
           new LifecycleAction.Complete(
               new Completion(
@@ -401,7 +401,7 @@
     }
     UpstreamName upstream = grant.orElseThrow().target();
     history.upstreamReached();
-    held.release(attempt, upstream);
+    outstanding.release(attempt, upstream);
     suspects.leave(attempt);
     kv.release();
     last.keep(attempt);
@@ -423,7 +423,7 @@
 
   void upstreamFailed(LifecycleEvent.UpstreamFailed failed) {
     if (failed.failure().isNotRun()) {
-      held.release(failed.attempt(), failed.upstream());
+      outstanding.release(failed.attempt(), failed.upstream());
     }
     boolean isCurrent = state.isRunning() && failed.attempt() == attempt;
     if (isCurrent && suspects.isRunningOn(failed.upstream())) {
@@ -434,11 +434,11 @@
   }
 
   void cancelConfirmed(LifecycleEvent.CancelConfirmed confirmed) {
-    held.release(confirmed.attempt(), confirmed.upstream());
+    outstanding.release(confirmed.attempt(), confirmed.upstream());
   }
 
   void upstreamRestarted(UpstreamName upstream) {
-    held.releaseAll(upstream);
+    outstanding.releaseAll(upstream);
     kv.holderRestarted(upstream);
     if (state.isRunning() && suspects.isRunningOn(upstream)) {
       failCurrent(UpstreamFailure.CUT);
@@ -462,7 +462,7 @@
       history.upstreamReached();
     }
     actions.add(new LifecycleAction.CloseAttempt(attempt));
-    actions.addAll(held.cancel(attempt, upstream, nowMillis));
+    actions.addAll(outstanding.cancel(attempt, upstream, nowMillis));
     reportEnd(failure.attemptResult(), Optional.of(upstream));
     if (failure == UpstreamFailure.KV_EXPIRED) {
       kv.release();
@@ -515,7 +515,7 @@
   }
 
   void timePassed() {
-    actions.addAll(held.repeat(nowMillis));
+    actions.addAll(outstanding.repeatCancels(nowMillis));
     if (state == LifecycleState.ENDED) {
       return;
     }
@@ -565,7 +565,7 @@
       actions.add(new LifecycleAction.SettleClaim(outcome));
     }
     kv.releaseExpired(nowMillis);
-    actions.addAll(held.cancelAll(nowMillis));
+    actions.addAll(outstanding.cancelAll(nowMillis));
   }
 
   private void report(AttemptPhase phase, int cachedTokens, long tookMillis) {
--- a/core/src/main/java/org/marjoramsail/core/outcome/SuspectGuard.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/SuspectGuard.java
@@ -14,16 +14,19 @@
   private final RequestProfile profile;
   private final LifecyclePolicy policy;
   private final Quarantine quarantine;
-  private final HeldAttempts held;
+  private final OutstandingAttempts outstanding;
   private long cancelWaitUntilMillis = Long.MAX_VALUE;
   private Optional<UpstreamName> runningOn = Optional.empty();
 
   SuspectGuard(
-      RequestProfile profile, LifecyclePolicy policy, Quarantine quarantine, HeldAttempts held) {
+      RequestProfile profile,
+      LifecyclePolicy policy,
+      Quarantine quarantine,
+      OutstandingAttempts outstanding) {
     this.profile = profile;
     this.policy = policy;
     this.quarantine = quarantine;
-    this.held = held;
+    this.outstanding = outstanding;
   }
 
   /** The upstream that works on the current attempt. */
@@ -48,7 +51,7 @@
    * upstream, or one content could crash three: two by late attempts, one by the retry.
    */
   boolean isWaitingForCancels(Suspicion suspicion, long nowMillis) {
-    if (suspicion != Suspicion.SUSPECT || held.nextRepeatMillis().isEmpty()) {
+    if (suspicion != Suspicion.SUSPECT || outstanding.nextRepeatAtMillis().isEmpty()) {
       return false;
     }
     cancelWaitUntilMillis =
@@ -111,7 +114,7 @@
    */
   void leave(int attempt) {
     runningOn
-        .filter(upstream -> !held.isHeld(attempt, upstream))
+        .filter(upstream -> !outstanding.isOutstanding(attempt, upstream))
         .ifPresent(upstream -> left(attempt, upstream));
     runningOn = Optional.empty();
   }
