--- a/core/src/main/java/org/marjoramsail/core/outcome/CrashRecords.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/CrashRecords.java
@@ -27,7 +27,7 @@
     private final Set<CrashId> cleared = new HashSet<>();
     private long expiresAtMillis;
 
-    private List<CrashId> counted() {
+    private List<CrashId> activeCrashes() {
       return crashes.stream().filter(crash -> !cleared.contains(crash)).toList();
     }
   }
@@ -53,10 +53,10 @@
     }
   }
 
-  /** How many crashes are counted against a content. */
-  int counted(long fingerprint) {
+  /** How many crashes are active against a content. */
+  int crashCount(long fingerprint) {
     Entry entry = entries.get(fingerprint);
-    return entry == null ? 0 : entry.counted().size();
+    return entry == null ? 0 : entry.activeCrashes().size();
   }
 
   long expiresAtMillis(long fingerprint) {
@@ -69,10 +69,10 @@
   }
 
   Suspicion suspicion(long fingerprint) {
-    if (counted(fingerprint) == 0) {
+    if (crashCount(fingerprint) == 0) {
       return Suspicion.CLEAR;
     }
-    if (counted(fingerprint) < Quarantine.CRASH_LIMIT) {
+    if (crashCount(fingerprint) < Quarantine.CRASH_LIMIT) {
       return Suspicion.SUSPECT;
     }
     List<Long> others = othersOnAllCrashes(fingerprint);
@@ -80,69 +80,69 @@
       return Suspicion.QUARANTINED;
     }
     boolean isExplained = others.stream().anyMatch(this::isOnlyExplanation);
-    return isExplained || others.stream().noneMatch(other -> isTriedBefore(other, fingerprint))
+    return isExplained || others.stream().noneMatch(other -> isTriedFirst(other, fingerprint))
         ? Suspicion.SUSPECT
         : Suspicion.UNSETTLED;
   }
 
   private boolean isOnlyExplanation(long fingerprint) {
-    return counted(fingerprint) >= Quarantine.CRASH_LIMIT
+    return crashCount(fingerprint) >= Quarantine.CRASH_LIMIT
         && othersOnAllCrashes(fingerprint).isEmpty();
   }
 
   private List<Long> othersOnAllCrashes(long fingerprint) {
-    List<CrashId> crashes = entries.get(fingerprint).counted();
+    List<CrashId> crashes = entries.get(fingerprint).activeCrashes();
     return suspects.get(crashes.get(0)).stream()
         .filter(other -> other != fingerprint)
-        .filter(other -> crashes.stream().allMatch(crash -> isCounted(other, crash)))
+        .filter(other -> crashes.stream().allMatch(crash -> isActive(other, crash)))
         .toList();
   }
 
-  private boolean isCounted(long fingerprint, CrashId crash) {
+  private boolean isActive(long fingerprint, CrashId crash) {
     Entry entry = entries.get(fingerprint);
     return entry != null && entry.crashes.contains(crash) && !entry.cleared.contains(crash);
   }
 
-  private boolean isTriedBefore(long other, long fingerprint) {
-    List<CrashId> crashes = entries.get(fingerprint).counted();
+  private boolean isTriedFirst(long other, long fingerprint) {
+    List<CrashId> crashes = entries.get(fingerprint).activeCrashes();
     List<Long> order = new ArrayList<>(suspects.get(crashes.get(crashes.size() - 1)));
     return order.indexOf(other) < order.indexOf(fingerprint);
   }
 
-  /** Clears a content of all crashes; gives those that were counted until now. */
+  /** Clears a content of all crashes; gives those that were active until now. */
   List<CrashId> clear(long fingerprint) {
     Entry entry = entries.get(fingerprint);
     if (entry == null) {
       return List.of();
     }
-    List<CrashId> counted = entry.counted();
-    entry.cleared.addAll(counted);
-    return counted;
+    List<CrashId> active = entry.activeCrashes();
+    entry.cleared.addAll(active);
+    return active;
   }
 
   void expire(long nowMillis) {
     if (entries.values().removeIf(entry -> nowMillis >= entry.expiresAtMillis)) {
-      forgetCrashes();
+      removeUnusedCrashes();
     }
   }
 
   private Entry entry(long fingerprint) {
-    Entry known = entries.get(fingerprint);
-    if (known != null) {
-      return known;
+    Entry existing = entries.get(fingerprint);
+    if (existing != null) {
+      return existing;
     }
     if (entries.size() >= maximumEntries) {
       Iterator<Long> oldest = entries.keySet().iterator();
       oldest.next();
       oldest.remove();
-      forgetCrashes();
+      removeUnusedCrashes();
     }
-    Entry fresh = new Entry();
-    entries.put(fingerprint, fresh);
-    return fresh;
+    Entry added = new Entry();
+    entries.put(fingerprint, added);
+    return added;
   }
 
-  private void forgetCrashes() {
+  private void removeUnusedCrashes() {
     suspects.values().removeIf(contents -> contents.stream().noneMatch(entries::containsKey));
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/outcome/Quarantine.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/Quarantine.java
@@ -41,38 +41,39 @@
   /** How many crashes of one content lead to its refusal. */
   public static final int CRASH_LIMIT = 2;
 
-  private static final int DISTINCT_CUTS_OF_A_CRASH = 2;
+  private static final int CUT_REQUESTS_OF_PRESUMED_CRASH = 2;
 
   /** A list says that late at most that an upstream has started again, in milliseconds. */
-  private static final long DOUBT_MILLIS = 15_000;
+  private static final long LATE_RESTART_MILLIS = 15_000;
 
   private record AttemptKey(RequestId request, int attempt) {}
 
   /** One attempt on an upstream. */
-  private static final class Run {
+  private static final class RunningAttempt {
     private final long fingerprint;
     private final long sequence;
-    private boolean alive;
+    private boolean outputReceived;
 
-    private Run(long fingerprint, long sequence) {
+    private RunningAttempt(long fingerprint, long sequence) {
       this.fingerprint = fingerprint;
       this.sequence = sequence;
     }
 
-    private boolean is(long other) {
+    private boolean hasFingerprint(long other) {
       return fingerprint == other;
     }
   }
 
-  private static final Comparator<Run> LEAST_LIKELY_FIRST =
-      Comparator.<Run, Boolean>comparing(run -> !run.alive).thenComparing(run -> run.sequence);
+  private static final Comparator<RunningAttempt> LEAST_LIKELY_FIRST =
+      Comparator.<RunningAttempt, Boolean>comparing(run -> !run.outputReceived)
+          .thenComparing(run -> run.sequence);
 
   private static final class Upstream {
     private long incarnation;
-    private final Map<AttemptKey, Run> running = new HashMap<>();
-    private final Map<AttemptKey, Run> cut = new HashMap<>();
-    private final Map<AttemptKey, Run> doubted = new HashMap<>();
-    private long settleAtMillis;
+    private final Map<AttemptKey, RunningAttempt> running = new HashMap<>();
+    private final Map<AttemptKey, RunningAttempt> cut = new HashMap<>();
+    private final Map<AttemptKey, RunningAttempt> dismissed = new HashMap<>();
+    private long decideAtMillis;
     private boolean presumed;
     private long lastCutAtMillis;
     private long crashedIncarnation = -1;
@@ -88,31 +89,31 @@
      * so: its first answers look like those of the earlier life, and the content that crashed it
      * would be forgotten. When the new life shows, what was cut last is suspect after all.
      */
-    private void doubt() {
+    private void dismissCuts() {
       if (!cut.isEmpty()) {
-        doubted.clear();
-        doubted.putAll(cut);
+        dismissed.clear();
+        dismissed.putAll(cut);
         cut.clear();
       }
     }
 
-    private List<Run> takeSuspects(long nowMillis) {
-      List<Run> suspects = new ArrayList<>(cut.values());
+    private List<RunningAttempt> removeSuspects(long nowMillis) {
+      List<RunningAttempt> suspects = new ArrayList<>(cut.values());
       cut.clear();
-      if (nowMillis - lastCutAtMillis <= DOUBT_MILLIS) {
-        suspects.addAll(doubted.values());
+      if (nowMillis - lastCutAtMillis <= LATE_RESTART_MILLIS) {
+        suspects.addAll(dismissed.values());
       }
-      doubted.clear();
+      dismissed.clear();
       return suspects;
     }
 
     private void forget(long fingerprint) {
-      cut.values().removeIf(run -> run.is(fingerprint));
-      doubted.values().removeIf(run -> run.is(fingerprint));
+      cut.values().removeIf(run -> run.hasFingerprint(fingerprint));
+      dismissed.values().removeIf(run -> run.hasFingerprint(fingerprint));
     }
 
-    private boolean isAmongCut(long fingerprint) {
-      return cut.values().stream().anyMatch(run -> run.is(fingerprint));
+    private boolean hasCut(long fingerprint) {
+      return cut.values().stream().anyMatch(run -> run.hasFingerprint(fingerprint));
     }
   }
 
@@ -137,37 +138,37 @@
   }
 
   /** Records that an attempt was sent to an upstream. */
-  public synchronized void began(
+  public synchronized void started(
       UpstreamName upstream, RequestId request, int attempt, long fingerprint) {
-    Run run = new Run(fingerprint, ++sequence);
+    RunningAttempt run = new RunningAttempt(fingerprint, ++sequence);
     upstream(upstream).running.put(new AttemptKey(request, attempt), run);
   }
 
   /** Records that an attempt has given tokens, so that running it did not crash its upstream. */
-  public synchronized void showedLife(UpstreamName upstream, RequestId request, int attempt) {
-    Run run = upstream(upstream).running.get(new AttemptKey(request, attempt));
+  public synchronized void outputReceived(UpstreamName upstream, RequestId request, int attempt) {
+    RunningAttempt run = upstream(upstream).running.get(new AttemptKey(request, attempt));
     if (run != null) {
-      run.alive = true;
+      run.outputReceived = true;
     }
   }
 
   /** Records that an attempt left an upstream without a sign of a crash. */
-  public synchronized void left(UpstreamName upstream, RequestId request, int attempt) {
+  public synchronized void released(UpstreamName upstream, RequestId request, int attempt) {
     upstream(upstream).running.remove(new AttemptKey(request, attempt));
   }
 
   /** Records that the connection of an attempt was cut. */
-  public synchronized void cut(
+  public synchronized void connectionLost(
       UpstreamName upstream, RequestId request, int attempt, long nowMillis) {
     Upstream state = upstream(upstream);
     AttemptKey key = new AttemptKey(request, attempt);
-    Run run = state.running.remove(key);
+    RunningAttempt run = state.running.remove(key);
     if (run == null) {
       return;
     }
     if (!state.isUnsettled() || state.presumed) {
       state.presumed = false;
-      state.settleAtMillis = nowMillis + settleMillis;
+      state.decideAtMillis = nowMillis + settleMillis;
     }
     state.lastCutAtMillis = nowMillis;
     state.cut.put(key, run);
@@ -199,14 +200,14 @@
     if (restarted) {
       crashed(name, state, nowMillis);
     } else if (state.incarnation == incarnation && asOfMillis > state.lastCutAtMillis) {
-      state.doubt();
+      state.dismissCuts();
     }
     state.incarnation = Math.max(state.incarnation, incarnation);
     return restarted;
   }
 
   /** Records that an upstream refuses connections; after a cut that proves a crash. */
-  public synchronized void refusesConnections(UpstreamName name, long nowMillis) {
+  public synchronized void connectionsRefused(UpstreamName name, long nowMillis) {
     Upstream state = upstream(name);
     if (state.isUnsettled()) {
       crashed(name, state, nowMillis);
@@ -226,15 +227,15 @@
     settleAndExpire(nowMillis);
     Suspicion proven = records.suspicion(fingerprint);
     List<Upstream> cut =
-        upstreams.values().stream().filter(one -> one.isAmongCut(fingerprint)).toList();
+        upstreams.values().stream().filter(one -> one.hasCut(fingerprint)).toList();
     if (proven == Suspicion.QUARANTINED || cut.isEmpty()) {
       return proven;
     }
     long unsettled = cut.stream().filter(one -> !one.presumed).count();
-    boolean isWaiting =
+    boolean mustWait =
         proven == Suspicion.UNSETTLED
-            || (unsettled > 0 && records.counted(fingerprint) + unsettled >= CRASH_LIMIT);
-    return isWaiting ? Suspicion.UNSETTLED : Suspicion.SUSPECT;
+            || (unsettled > 0 && records.crashCount(fingerprint) + unsettled >= CRASH_LIMIT);
+    return mustWait ? Suspicion.UNSETTLED : Suspicion.SUSPECT;
   }
 
   /** The upstreams that may hold a suspect other than this content. */
@@ -247,7 +248,8 @@
                         entry.getValue().cut.values().stream())
                     .anyMatch(
                         run ->
-                            run.fingerprint != fingerprint && records.counted(run.fingerprint) > 0))
+                            run.fingerprint != fingerprint
+                                && records.crashCount(run.fingerprint) > 0))
         .map(Map.Entry::getKey)
         .toList();
   }
@@ -271,13 +273,13 @@
     settleAndExpire(nowMillis);
     List<QuarantineEntry> result = new ArrayList<>();
     for (long fingerprint : records.fingerprints()) {
-      int counted = records.counted(fingerprint);
-      if (counted > 0) {
+      int crashes = records.crashCount(fingerprint);
+      if (crashes > 0) {
         result.add(
             new QuarantineEntry(
                 fingerprint,
                 records.suspicion(fingerprint),
-                counted,
+                crashes,
                 records.expiresAtMillis(fingerprint) - nowMillis));
       }
     }
@@ -308,7 +310,7 @@
   }
 
   private void crashed(UpstreamName name, Upstream state, long nowMillis) {
-    List<Run> runs = state.takeSuspects(nowMillis);
+    List<RunningAttempt> runs = state.removeSuspects(nowMillis);
     if (state.crashedIncarnation != state.incarnation) {
       runs.addAll(state.running.values());
       state.running.clear();
@@ -331,12 +333,13 @@
   }
 
   private void settle(Upstream state, long nowMillis) {
-    if (!state.isUnsettled() || nowMillis < state.settleAtMillis) {
+    if (!state.isUnsettled() || nowMillis < state.decideAtMillis) {
       return;
     }
     long distinct = state.cut.keySet().stream().map(AttemptKey::request).distinct().count();
     state.presumed =
-        distinct >= DISTINCT_CUTS_OF_A_CRASH && nowMillis < state.lastCutAtMillis + lifetimeMillis;
+        distinct >= CUT_REQUESTS_OF_PRESUMED_CRASH
+            && nowMillis < state.lastCutAtMillis + lifetimeMillis;
     if (!state.presumed) {
       state.cut.clear();
     }
--- a/core/src/main/java/org/marjoramsail/core/outcome/SuspectGuard.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/QuarantineGuard.java
@@ -9,7 +9,7 @@
 import org.marjoramsail.core.placement.Grant;
 
 /** What one request and the quarantine tell each other: where it runs, and whether it may. */
-final class SuspectGuard {
+final class QuarantineGuard {
 
   private final RequestProfile profile;
   private final LifecyclePolicy policy;
@@ -18,7 +18,7 @@
   private long cancelWaitUntilMillis = Long.MAX_VALUE;
   private Optional<UpstreamName> runningOn = Optional.empty();
 
-  SuspectGuard(
+  QuarantineGuard(
       RequestProfile profile,
       LifecyclePolicy policy,
       Quarantine quarantine,
@@ -47,7 +47,7 @@
   }
 
   /**
-   * A suspect is not sent again while an attempt that was given up may still arrive and crash its
+   * A suspect is not sent again while an attempt that was grant up may still arrive and crash its
    * upstream, or one content could crash three: two by late attempts, one by the retry.
    */
   boolean isWaitingForCancels(Suspicion suspicion, long nowMillis) {
@@ -67,41 +67,41 @@
   }
 
   /** The upstreams that placement has to avoid for a suspect, besides those that failed. */
-  List<UpstreamName> avoided(Collection<UpstreamName> failed) {
-    Set<UpstreamName> all = new LinkedHashSet<>(failed);
-    all.addAll(quarantine.upstreamsWithOtherSuspects(profile.fingerprint()));
-    return List.copyOf(all);
+  List<UpstreamName> upstreamsToAvoid(Collection<UpstreamName> failed) {
+    Set<UpstreamName> avoided = new LinkedHashSet<>(failed);
+    avoided.addAll(quarantine.upstreamsWithOtherSuspects(profile.fingerprint()));
+    return List.copyOf(avoided);
   }
 
-  /** Whether upstreams are avoided that will hold no other suspect after a while. */
-  boolean isKeptApart(Collection<UpstreamName> failed, long nowMillis) {
+  /** Whether upstreams are upstreamsToAvoid that will hold no other suspect after a while. */
+  boolean isAvoidingSuspects(Collection<UpstreamName> failed, long nowMillis) {
     return suspicion(nowMillis) == Suspicion.SUSPECT
-        && avoided(failed).size() > Set.copyOf(failed).size();
+        && upstreamsToAvoid(failed).size() > Set.copyOf(failed).size();
   }
 
   /**
    * Whether a grant would put it beside another suspect. Guards against the failure in which two
    * requests were placed side by side before they became suspect together.
    */
-  boolean isBesideSuspect(Grant given, long nowMillis) {
+  boolean wouldShareUpstreamWithSuspect(Grant grant, long nowMillis) {
     if (suspicion(nowMillis) != Suspicion.SUSPECT) {
       return false;
     }
     List<UpstreamName> others = quarantine.upstreamsWithOtherSuspects(profile.fingerprint());
-    return others.contains(given.target()) || given.prefill().filter(others::contains).isPresent();
+    return others.contains(grant.target()) || grant.prefill().filter(others::contains).isPresent();
   }
 
-  void began(int attempt, UpstreamName upstream) {
+  void started(int attempt, UpstreamName upstream) {
     runningOn = Optional.of(upstream);
-    quarantine.began(upstream, profile.id(), attempt, profile.fingerprint());
+    quarantine.started(upstream, profile.id(), attempt, profile.fingerprint());
   }
 
-  void showedLife(int attempt) {
-    runningOn.ifPresent(upstream -> quarantine.showedLife(upstream, profile.id(), attempt));
+  void outputReceived(int attempt) {
+    runningOn.ifPresent(upstream -> quarantine.outputReceived(upstream, profile.id(), attempt));
   }
 
-  void cut(int attempt, UpstreamName upstream, long nowMillis) {
-    quarantine.cut(upstream, profile.id(), attempt, nowMillis);
+  void connectionLost(int attempt, UpstreamName upstream, long nowMillis) {
+    quarantine.connectionLost(upstream, profile.id(), attempt, nowMillis);
   }
 
   void completed(long nowMillis) {
@@ -110,16 +110,16 @@
 
   /**
    * Forgets where the attempt runs. The quarantine keeps it until the upstream holds nothing of it:
-   * an attempt that was given up may still crash the upstream before its cancel arrives.
+   * an attempt that was grant up may still crash the upstream before its cancel arrives.
    */
-  void leave(int attempt) {
+  void stopRunning(int attempt) {
     runningOn
         .filter(upstream -> !outstanding.isOutstanding(attempt, upstream))
-        .ifPresent(upstream -> left(attempt, upstream));
+        .ifPresent(upstream -> released(attempt, upstream));
     runningOn = Optional.empty();
   }
 
-  void left(int attempt, UpstreamName upstream) {
-    quarantine.left(upstream, profile.id(), attempt);
+  void released(int attempt, UpstreamName upstream) {
+    quarantine.released(upstream, profile.id(), attempt);
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
@@ -35,7 +35,7 @@
   private final Invariants invariants;
 
   private final OutstandingAttempts outstanding;
-  private final SuspectGuard suspects;
+  private final QuarantineGuard quarantineGuard;
   private final KvTransferState kv;
   private final AttemptHistory history;
   private final BackOff backOff;
@@ -75,8 +75,8 @@
     this.invariants = invariants;
     this.outstanding =
         new OutstandingAttempts(
-            policy, (ended, upstream) -> quarantine.left(upstream, profile.id(), ended));
-    this.suspects = new SuspectGuard(profile, policy, quarantine, outstanding);
+            policy, (ended, upstream) -> quarantine.released(upstream, profile.id(), ended));
+    this.quarantineGuard = new QuarantineGuard(profile, policy, quarantine, outstanding);
     this.kv = new KvTransferState(policy, outstanding);
     this.history = new AttemptHistory(profile, invariants);
     this.backOff = new BackOff(policy, random);
@@ -144,7 +144,7 @@
       return;
     }
     budget.earn();
-    if (suspects.isQuarantined(nowMillis)) {
+    if (quarantineGuard.isQuarantined(nowMillis)) {
       refuseQuarantined();
     } else if (profile.claimed()) {
       state = LifecycleState.CLAIMING;
@@ -177,12 +177,13 @@
   }
 
   private void tryToPlace() {
-    Suspicion suspicion = suspects.suspicion(nowMillis);
+    Suspicion suspicion = quarantineGuard.suspicion(nowMillis);
     if (suspicion == Suspicion.QUARANTINED) {
       refuseQuarantined();
       return;
     }
-    if (suspicion == Suspicion.UNSETTLED || suspects.isWaitingForCancels(suspicion, nowMillis)) {
+    if (suspicion == Suspicion.UNSETTLED
+        || quarantineGuard.isWaitingForCancels(suspicion, nowMillis)) {
       state = LifecycleState.BACKING_OFF;
       waitUntilMillis = nowMillis + UNSETTLED_RECHECK_MILLIS;
       return;
@@ -199,7 +200,7 @@
         Math.min(profile.deadlineAtMillis(), progress.patientUntilMillis(policy.patienceMillis()));
     return new PlacementAsk(
             profile, attempt, generatedTokens(), usefulUntilMillis, kv.usable(nowMillis))
-        .at(nowMillis, alone ? suspects.avoided(avoid) : List.copyOf(avoid), alone);
+        .at(nowMillis, alone ? quarantineGuard.upstreamsToAvoid(avoid) : List.copyOf(avoid), alone);
   }
 
   void granted(Grant given) {
@@ -208,10 +209,10 @@
       return;
     }
     grant = Optional.of(given);
-    if (suspects.isQuarantined(nowMillis)) {
+    if (quarantineGuard.isQuarantined(nowMillis)) {
       state = LifecycleState.BACKING_OFF;
       refuseQuarantined();
-    } else if (suspects.isBesideSuspect(given, nowMillis)) {
+    } else if (quarantineGuard.wouldShareUpstreamWithSuspect(given, nowMillis)) {
       placeLater();
     } else if (given.mode() == GrantMode.PLAIN) {
       sendPlain(given);
@@ -240,16 +241,16 @@
     progress.expectUntil(
         nowMillis + ESTIMATE_FACTOR * given.expectedPrefillMillis() + policy.prefillStallMillis());
     outstanding.add(attempt, upstream);
-    suspects.began(attempt, upstream);
+    quarantineGuard.started(attempt, upstream);
     actions.add(new LifecycleAction.SendPrefill(attempt, upstream));
   }
 
   private void sendDecode(Grant given) {
-    if (suspects.isQuarantined(nowMillis)) {
+    if (quarantineGuard.isQuarantined(nowMillis)) {
       refuseQuarantined();
       return;
     }
-    if (suspects.isBesideSuspect(given, nowMillis)) {
+    if (quarantineGuard.wouldShareUpstreamWithSuspect(given, nowMillis)) {
       placeLater();
       return;
     }
@@ -263,7 +264,7 @@
     stallAfter(ESTIMATE_FACTOR * estimateMillis + policy.tokenStallMillis());
     history.recordSend(attempt);
     outstanding.add(attempt, given.target());
-    suspects.began(attempt, given.target());
+    quarantineGuard.started(attempt, given.target());
     actions.add(new LifecycleAction.SendDecode(attempt, given.target(), nextIndex, kv.source()));
   }
 
@@ -276,7 +277,7 @@
     stallAfter(policy.answerStallMillis());
     progress.asked(nowMillis);
     history.recordSend(attempt);
-    suspects.began(attempt, given.target());
+    quarantineGuard.started(attempt, given.target());
     actions.add(new LifecycleAction.SendPlain(attempt, given.target()));
   }
 
@@ -291,7 +292,7 @@
     }
     state = LifecycleState.BACKING_OFF;
     if (refused.refusal().reason() == RefusalReason.NO_UPSTREAM
-        && suspects.isKeptApart(avoid, nowMillis)) {
+        && quarantineGuard.isAvoidingSuspects(avoid, nowMillis)) {
       waitUntilMillis = nowMillis + UNSETTLED_RECHECK_MILLIS;
     } else {
       refuse(refused.refusal());
@@ -305,8 +306,8 @@
     }
     Grant current = grant.orElseThrow();
     UpstreamName holder = current.prefill().orElseThrow();
-    suspects.leave(attempt);
-    suspects.left(attempt, holder);
+    quarantineGuard.stopRunning(attempt);
+    quarantineGuard.released(attempt, holder);
     kv.store(
         new KvSource(
             holder,
@@ -348,7 +349,7 @@
       return;
     }
     frameSeen = true;
-    suspects.showedLife(attempt);
+    quarantineGuard.outputReceived(attempt);
     kv.release();
     report(AttemptPhase.GENERATING, 0, 0);
   }
@@ -370,7 +371,7 @@
                   finished.promptTokens(),
                   finished.cachedTokens(),
                   nextIndex)));
-      suspects.completed(nowMillis);
+      quarantineGuard.completed(nowMillis);
       end(AttemptResult.COMPLETED, ClaimOutcome.COMPLETED);
     }
   }
@@ -384,14 +385,11 @@
     if (!last.isCallerDisconnected()) {
       answer(new LifecycleAction.DeliverResponse(attempt));
     }
-    suspects.completed(nowMillis);
+    quarantineGuard.completed(nowMillis);
     end(AttemptResult.COMPLETED, ClaimOutcome.COMPLETED);
   }
 
-  /**
-   * Tries another upstream where the request may run again; the answer that there is stays at hand
-   * and is given to the caller when no better one comes.
-   */
+  /** Retries a request that may run again, and keeps the failure response in case none succeeds. */
   void failureAnswered(LifecycleEvent.FailureResponseReceived failed) {
     boolean awaited =
         state == LifecycleState.PLAIN_RUNNING || (state == LifecycleState.GENERATING && !frameSeen);
@@ -402,7 +400,7 @@
     UpstreamName upstream = grant.orElseThrow().target();
     history.upstreamReached();
     outstanding.release(attempt, upstream);
-    suspects.leave(attempt);
+    quarantineGuard.stopRunning(attempt);
     kv.release();
     last.keep(attempt);
     reportEnd(AttemptResult.FAILED, Optional.of(upstream));
@@ -426,7 +424,7 @@
       outstanding.release(failed.attempt(), failed.upstream());
     }
     boolean isCurrent = state.isRunning() && failed.attempt() == attempt;
-    if (isCurrent && suspects.isRunningOn(failed.upstream())) {
+    if (isCurrent && quarantineGuard.isRunningOn(failed.upstream())) {
       failCurrent(failed.failure());
     } else {
       drop(DropReason.LATE_EVENT);
@@ -440,19 +438,19 @@
   void upstreamRestarted(UpstreamName upstream) {
     outstanding.releaseAll(upstream);
     kv.holderRestarted(upstream);
-    if (state.isRunning() && suspects.isRunningOn(upstream)) {
+    if (state.isRunning() && quarantineGuard.isRunningOn(upstream)) {
       failCurrent(UpstreamFailure.CUT);
     }
   }
 
   /** Ends the current attempt with a failure, and tries again where that is allowed. */
   private void failCurrent(UpstreamFailure failure) {
-    UpstreamName upstream = suspects.runningOn().orElseThrow();
+    UpstreamName upstream = quarantineGuard.runningOn().orElseThrow();
     boolean prefillFailed = state == LifecycleState.PREFILLING;
     if (failure.isCrashSign()) {
-      suspects.cut(attempt, upstream, nowMillis);
+      quarantineGuard.connectionLost(attempt, upstream, nowMillis);
     }
-    suspects.leave(attempt);
+    quarantineGuard.stopRunning(attempt);
     if (failure.isNotRun()) {
       history.markNotRun(attempt);
     }
@@ -529,7 +527,7 @@
   }
 
   private void refuseQuarantined() {
-    refuse(RefusalReason.QUARANTINED, suspects.refusalDetail());
+    refuse(RefusalReason.QUARANTINED, quarantineGuard.refusalDetail());
   }
 
   private void refuse(RefusalReason reason, String detail) {
@@ -556,7 +554,7 @@
     if (cut) {
       actions.add(new LifecycleAction.CloseAttempt(attempt));
     }
-    suspects.leave(attempt);
+    quarantineGuard.stopRunning(attempt);
     if (waiting) {
       actions.add(new LifecycleAction.Withdraw(profile.id()));
     }
--- a/core/src/test/java/org/marjoramsail/core/outcome/QuarantineTest.java
+++ b/core/src/test/java/org/marjoramsail/core/outcome/QuarantineTest.java
@@ -28,7 +28,7 @@
 
   private RequestId runs(UpstreamName upstream, long fingerprint) {
     RequestId request = new RequestId("q" + ++requests);
-    quarantine.began(upstream, request, 1, fingerprint);
+    quarantine.started(upstream, request, 1, fingerprint);
     return request;
   }
 
@@ -79,7 +79,7 @@
   void theOneThatShowedLifeIsTriedBeforeTheOneThatWasThereLonger() {
     for (UpstreamName upstream : List.of(FIRST, SECOND)) {
       runs(upstream, POISON);
-      quarantine.showedLife(upstream, runs(upstream, INNOCENT), 1);
+      quarantine.outputReceived(upstream, runs(upstream, INNOCENT), 1);
       crash(upstream, 1);
     }
 
@@ -102,8 +102,8 @@
   @Test
   void cutsWithoutAProofKeepApartAndNeverRefuse() {
     for (UpstreamName upstream : List.of(FIRST, SECOND)) {
-      quarantine.cut(upstream, runs(upstream, INNOCENT), 1, 1);
-      quarantine.cut(upstream, runs(upstream, POISON), 1, 1);
+      quarantine.connectionLost(upstream, runs(upstream, INNOCENT), 1, 1);
+      quarantine.connectionLost(upstream, runs(upstream, POISON), 1, 1);
     }
 
     assertThat(quarantine.suspicion(INNOCENT, 1 + SETTLE_MILLIS)).isEqualTo(Suspicion.SUSPECT);
@@ -167,7 +167,7 @@
   @Test
   void anAnswerFromTheNextLifeDoesNotClearWhatCrashedTheOneBefore() {
     RequestId request = runs(FIRST, POISON);
-    quarantine.cut(FIRST, request, 1, 1);
+    quarantine.connectionLost(FIRST, request, 1, 1);
     quarantine.incarnation(FIRST, 1, 2, 3);
     assertThat(suspicion(POISON)).isEqualTo(Suspicion.CLEAR);
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamLiveness.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamLiveness.java
@@ -51,7 +51,7 @@
 
   @Override
   public void refuses(UpstreamName upstream) {
-    quarantine.refusesConnections(upstream, clock.millis());
+    quarantine.connectionsRefused(upstream, clock.millis());
   }
 
   private boolean heardOf(Incarnation upstream, long asOfMillis) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/OutcomeObserver.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/OutcomeObserver.java
@@ -72,7 +72,7 @@
   @Override
   public void unreachable(UpstreamName upstream, boolean connectionRefused) {
     if (connectionRefused) {
-      quarantine.refusesConnections(upstream, clock.millis());
+      quarantine.connectionsRefused(upstream, clock.millis());
       tellOthers();
     }
     next.unreachable(upstream, connectionRefused);
--- a/daemon/src/test/java/org/marjoramsail/daemon/forward/UpstreamLivenessTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/forward/UpstreamLivenessTest.java
@@ -59,8 +59,8 @@
   void anEntryInTheListProvesNoLifeAfterACut() {
     RequestId request = new RequestId("q1");
     lives.listed(new Incarnation(ENGINE, 1_000));
-    quarantine.began(ENGINE, request, 1, CONTENT);
-    quarantine.cut(ENGINE, request, 1, clock.millis());
+    quarantine.started(ENGINE, request, 1, CONTENT);
+    quarantine.connectionLost(ENGINE, request, 1, clock.millis());
 
     lives.listed(new Incarnation(ENGINE, 1_000));
     lives.refuses(ENGINE);
