--- a/core/src/main/java/org/marjoramsail/core/outcome/AttemptHistory.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/AttemptHistory.java
@@ -126,8 +126,8 @@
                 Optional.of(result),
                 failedUpstream,
                 0,
-                progress.answerMillis(),
+                progress.responseMillis(),
                 outputTokens,
-                progress.longestPauseMillis())));
+                progress.longestGapMillis())));
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
@@ -197,7 +197,8 @@
   private PlacementRequest placementRequest(boolean alone) {
     // A place is of use until the deadline, or until the caller has waited too long for a sign.
     long usefulUntilMillis =
-        Math.min(profile.deadlineAtMillis(), progress.patientUntilMillis(policy.patienceMillis()));
+        Math.min(
+            profile.deadlineAtMillis(), progress.callerWaitsUntilMillis(policy.patienceMillis()));
     return new PlacementAsk(
             profile, attempt, generatedTokens(), usefulUntilMillis, kv.usable(nowMillis))
         .at(nowMillis, alone ? quarantineGuard.upstreamsToAvoid(avoid) : List.copyOf(avoid), alone);
@@ -231,14 +232,14 @@
   private void placeLater() {
     reportEnd(AttemptResult.CANCELLED, Optional.empty());
     state = LifecycleState.BACKING_OFF;
-    progress.expectNothing();
+    progress.stopExpectingProgress();
     waitUntilMillis = nowMillis + UNSETTLED_RECHECK_MILLIS;
   }
 
   private void sendPrefill(Grant given) {
     UpstreamName upstream = given.prefill().orElseThrow();
     state = LifecycleState.PREFILLING;
-    progress.expectUntil(
+    progress.expectProgressUntil(
         nowMillis + ESTIMATE_FACTOR * given.expectedPrefillMillis() + policy.prefillStallMillis());
     outstanding.add(attempt, upstream);
     quarantineGuard.started(attempt, upstream);
@@ -259,7 +260,7 @@
       return;
     }
     state = LifecycleState.GENERATING;
-    progress.began();
+    progress.attemptStarted();
     long estimateMillis = given.expectedPrefillMillis() + given.expectedTransferMillis();
     stallAfter(ESTIMATE_FACTOR * estimateMillis + policy.tokenStallMillis());
     history.recordSend(attempt);
@@ -275,7 +276,7 @@
     }
     state = LifecycleState.PLAIN_RUNNING;
     stallAfter(policy.answerStallMillis());
-    progress.asked(nowMillis);
+    progress.requestSent(nowMillis);
     history.recordSend(attempt);
     quarantineGuard.started(attempt, given.target());
     actions.add(new LifecycleAction.SendPlain(attempt, given.target()));
@@ -338,7 +339,7 @@
     invariants.check(token.index() == nextIndex, Invariant.TOKENS_IN_ORDER, profile.id());
     invariants.check(!last.isGiven(), Invariant.SILENT_AFTER_END, profile.id());
     nextIndex++;
-    progress.piece(nowMillis);
+    progress.chunkSent(nowMillis);
     stallAfter(policy.tokenStallMillis());
     actions.add(new LifecycleAction.EmitToken(token.index(), token.text()));
   }
@@ -381,7 +382,7 @@
       drop(DropReason.LATE_EVENT);
       return;
     }
-    progress.answered(nowMillis);
+    progress.responseReceived(nowMillis);
     if (!last.isCallerDisconnected()) {
       answer(new LifecycleAction.DeliverResponse(attempt));
     }
@@ -411,7 +412,7 @@
     }
     avoid.add(upstream);
     actions.add(new LifecycleAction.CountRetry(RetryReason.UPSTREAM_ERROR));
-    progress.expectNothing();
+    progress.stopExpectingProgress();
     tryToPlace();
   }
 
@@ -550,7 +551,7 @@
     boolean waiting = state == LifecycleState.PLACING;
     boolean cut = state.isRunning() && outcome != ClaimOutcome.COMPLETED;
     state = LifecycleState.ENDED;
-    progress.expectNothing();
+    progress.stopExpectingProgress();
     if (cut) {
       actions.add(new LifecycleAction.CloseAttempt(attempt));
     }
@@ -582,9 +583,9 @@
 
   /** Silence ends an attempt only where another may follow; else it is no reason to end sooner. */
   private void stallAfter(long millis) {
-    progress.expectNothing();
+    progress.stopExpectingProgress();
     if (profile.repeatability().isResendable()) {
-      progress.expectUntil(nowMillis + millis);
+      progress.expectProgressUntil(nowMillis + millis);
     }
   }
 
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestProgress.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestProgress.java
@@ -6,12 +6,12 @@
   private static final long NONE = Long.MIN_VALUE;
   private static final long NEVER = Long.MAX_VALUE;
 
-  private long lastSignMillis;
-  private long lastPieceMillis = NONE;
-  private long longestPauseMillis;
+  private long lastProgressMillis;
+  private long lastChunkMillis = NONE;
+  private long longestGapMillis;
   private long stallAtMillis = NEVER;
-  private long askedMillis;
-  private long answerMillis;
+  private long sentAtMillis;
+  private long responseMillis;
 
   /**
    * Starts with the arrival of the request.
@@ -19,41 +19,41 @@
    * @param receivedAtMillis when that was
    */
   RequestProgress(long receivedAtMillis) {
-    this.lastSignMillis = receivedAtMillis;
+    this.lastProgressMillis = receivedAtMillis;
   }
 
   /** Records that another attempt begins to give pieces. */
-  void began() {
-    lastPieceMillis = NONE;
-    longestPauseMillis = 0;
+  void attemptStarted() {
+    lastChunkMillis = NONE;
+    longestGapMillis = 0;
   }
 
   /** Records that the caller was given a piece. */
-  void piece(long nowMillis) {
-    if (lastPieceMillis != NONE) {
-      longestPauseMillis = Math.max(longestPauseMillis, nowMillis - lastPieceMillis);
+  void chunkSent(long nowMillis) {
+    if (lastChunkMillis != NONE) {
+      longestGapMillis = Math.max(longestGapMillis, nowMillis - lastChunkMillis);
     }
-    lastPieceMillis = nowMillis;
-    lastSignMillis = nowMillis;
+    lastChunkMillis = nowMillis;
+    lastProgressMillis = nowMillis;
   }
 
   /** The longest pause between two pieces of this attempt; zero before the second. */
-  long longestPauseMillis() {
-    return longestPauseMillis;
+  long longestGapMillis() {
+    return longestGapMillis;
   }
 
   /** Until when a caller waits that leaves after so long without a sign. */
-  long patientUntilMillis(long patienceMillis) {
-    return lastSignMillis + patienceMillis;
+  long callerWaitsUntilMillis(long patienceMillis) {
+    return lastProgressMillis + patienceMillis;
   }
 
   /** The attempt is silent unless it gives a sign until then. */
-  void expectUntil(long atMillis) {
+  void expectProgressUntil(long atMillis) {
     stallAtMillis = atMillis;
   }
 
   /** Silence has no consequence from now on. */
-  void expectNothing() {
+  void stopExpectingProgress() {
     stallAtMillis = NEVER;
   }
 
@@ -63,18 +63,18 @@
   }
 
   /** Records that a plain request is sent. */
-  void asked(long nowMillis) {
-    askedMillis = nowMillis;
-    answerMillis = 0;
+  void requestSent(long nowMillis) {
+    sentAtMillis = nowMillis;
+    responseMillis = 0;
   }
 
   /** Records that a plain request is answered. */
-  void answered(long nowMillis) {
-    answerMillis = nowMillis - askedMillis;
+  void responseReceived(long nowMillis) {
+    responseMillis = nowMillis - sentAtMillis;
   }
 
   /** How long the answer to a plain request took; zero if there is none. */
-  long answerMillis() {
-    return answerMillis;
+  long responseMillis() {
+    return responseMillis;
   }
 }
