--- a/core/src/main/java/org/marjoramsail/core/outcome/FinalResponse.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/FinalResponse.java
@@ -9,12 +9,12 @@
  * What ends a request towards its caller, if the caller is still there.
  *
  * <p>An upstream's own answer that it had failed is kept while another upstream is tried. When no
- * better one comes it is given to the caller in place of a refusal, which would say less.
+ * better one comes it is sent to the caller in place of a refusal, which would say less.
  */
 final class FinalResponse {
 
   private boolean callerDisconnected;
-  private boolean given;
+  private boolean sent;
   private OptionalInt failedAttempt = OptionalInt.empty();
 
   void callerDisconnected() {
@@ -25,25 +25,25 @@
     return callerDisconnected;
   }
 
-  /** Whether an end was given already. */
-  boolean isGiven() {
-    return given;
+  /** Whether an end was sent already. */
+  boolean isSent() {
+    return sent;
   }
 
-  /** Marks that an end is given; true for the first. */
-  boolean give() {
-    boolean first = !given;
-    given = true;
+  /** Marks that an end is sent; true for the first. */
+  boolean markSent() {
+    boolean first = !sent;
+    sent = true;
     return first;
   }
 
   /** Keeps the answer of an attempt that its upstream says has failed. */
-  void keep(int attempt) {
+  void keepFailureResponse(int attempt) {
     failedAttempt = OptionalInt.of(attempt);
   }
 
   /** What the caller gets in place of a whole answer; nothing when it has left. */
-  Optional<LifecycleAction> inPlaceOfAnswer(Refusal refusal, RunState known) {
+  Optional<LifecycleAction> unsuccessfulEnd(Refusal refusal, RunState runState) {
     if (callerDisconnected) {
       return Optional.empty();
     }
@@ -52,6 +52,6 @@
     }
     return Optional.of(
         new LifecycleAction.Refuse(
-            new Refusal(refusal.reason(), known, refusal.detail(), refusal.retryAfterMillis())));
+            new Refusal(refusal.reason(), runState, refusal.detail(), refusal.retryAfterMillis())));
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
@@ -39,7 +39,7 @@
   private final KvTransferState kv;
   private final AttemptHistory history;
   private final BackOff backOff;
-  private final FinalResponse last = new FinalResponse();
+  private final FinalResponse finalResponse = new FinalResponse();
   private final RequestProgress progress;
   private final Set<UpstreamName> avoid = new LinkedHashSet<>();
   private List<LifecycleAction> actions = new ArrayList<>();
@@ -337,7 +337,7 @@
 
   private void emit(LifecycleEvent.TokenArrived token) {
     invariants.check(token.index() == nextIndex, Invariant.TOKENS_IN_ORDER, profile.id());
-    invariants.check(!last.isGiven(), Invariant.SILENT_AFTER_END, profile.id());
+    invariants.check(!finalResponse.isSent(), Invariant.SILENT_AFTER_END, profile.id());
     nextIndex++;
     progress.chunkSent(nowMillis);
     stallAfter(policy.tokenStallMillis());
@@ -383,7 +383,7 @@
       return;
     }
     progress.responseReceived(nowMillis);
-    if (!last.isCallerDisconnected()) {
+    if (!finalResponse.isCallerDisconnected()) {
       answer(new LifecycleAction.DeliverResponse(attempt));
     }
     quarantineGuard.completed(nowMillis);
@@ -403,7 +403,7 @@
     outstanding.release(attempt, upstream);
     quarantineGuard.stopRunning(attempt);
     kv.release();
-    last.keep(attempt);
+    finalResponse.keepFailureResponse(attempt);
     reportEnd(AttemptResult.FAILED, Optional.of(upstream));
     if (!profile.repeatability().isResendable() || !mayTryAgain() || !budget.trySpend()) {
       state = LifecycleState.BACKING_OFF;
@@ -499,7 +499,7 @@
     if (state == LifecycleState.ENDED) {
       return;
     }
-    last.callerDisconnected();
+    finalResponse.callerDisconnected();
     // A claimed plain call runs to its end, so that its claim records the actual outcome.
     if (state == LifecycleState.PLAIN_RUNNING && history.isClaimRecorded()) {
       return;
@@ -537,12 +537,12 @@
 
   /** Refuses with the run state that is known here, whatever the refusal itself says of one. */
   private void refuse(Refusal refusal) {
-    last.inPlaceOfAnswer(refusal, history.runState()).ifPresent(this::answer);
+    finalResponse.unsuccessfulEnd(refusal, history.runState()).ifPresent(this::answer);
     end(AttemptResult.CANCELLED, history.outcomeWithoutResponse());
   }
 
   private void answer(LifecycleAction action) {
-    if (invariants.check(last.give(), Invariant.SILENT_AFTER_END, profile.id())) {
+    if (invariants.check(finalResponse.markSent(), Invariant.SILENT_AFTER_END, profile.id())) {
       actions.add(action);
     }
   }
