--- a/core/src/main/java/org/marjoramsail/core/outcome/PlacementAsk.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/PlacementRequestBuilder.java
@@ -14,7 +14,7 @@
  * @param usefulUntilMillis until when a place is of use, on the clock of this daemon
  * @param kv a KV cache that still lives
  */
-record PlacementAsk(
+record PlacementRequestBuilder(
     RequestProfile profile,
     int attempt,
     int generatedTokens,
@@ -25,7 +25,7 @@
   private static final int FIRST_ATTEMPT = 1;
 
   /** The request with times that hold on any clock, as seen at one moment. */
-  PlacementRequest at(long nowMillis, List<UpstreamName> avoid, boolean alone) {
+  PlacementRequest build(long nowMillis, List<UpstreamName> avoid, boolean alone) {
     return new PlacementRequest(
         profile.id(),
         attempt,
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
@@ -199,9 +199,10 @@
     long usefulUntilMillis =
         Math.min(
             profile.deadlineAtMillis(), progress.callerWaitsUntilMillis(policy.patienceMillis()));
-    return new PlacementAsk(
+    return new PlacementRequestBuilder(
             profile, attempt, generatedTokens(), usefulUntilMillis, kv.usable(nowMillis))
-        .at(nowMillis, alone ? quarantineGuard.upstreamsToAvoid(avoid) : List.copyOf(avoid), alone);
+        .build(
+            nowMillis, alone ? quarantineGuard.upstreamsToAvoid(avoid) : List.copyOf(avoid), alone);
   }
 
   void granted(Grant given) {
