--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
@@ -18,11 +18,11 @@
 import org.marjoramsail.core.placement.PlacementRequest;
 
 /**
- * Decides everything about one request, from its arrival to its one end.
+ * State machine of one request, from its arrival to its single final response.
  *
- * <p>It takes events with their time and gives actions for the shell, in order. A prefill is
- * harmless to repeat; the send to a decode upstream or a plain service is the run. Calls must not
- * overlap; the clock that calls quote may jump forward, and a reading that falls back is ignored.
+ * <p>Each event returns the actions that the I/O layer has to perform, in order. A request counts
+ * as run once it is sent to a decode upstream or a plain service; a prefill may be repeated. Calls
+ * must not overlap. A time before that of an earlier call is ignored.
  */
 public final class RequestLifecycle {
 
@@ -33,9 +33,8 @@
   private final LifecyclePolicy policy;
   private final RetryBudget budget;
   private final Invariants invariants;
-
   private final OutstandingAttempts outstanding;
-  private final QuarantineGuard quarantineGuard;
+  private final QuarantineGuard guard;
   private final KvTransferState kv;
   private final AttemptHistory history;
   private final BackOff backOff;
@@ -52,16 +51,7 @@
   private long waitUntilMillis;
   private Optional<Grant> grant = Optional.empty();
 
-  /**
-   * Creates an instance with the request and what it shares with others.
-   *
-   * @param profile the request
-   * @param policy bounds of tries and waits
-   * @param budget the retries of its service
-   * @param quarantine contents that crash upstreams
-   * @param invariants what to do when the program itself is at fault
-   * @param random for the jitter of back-off
-   */
+  /** Creates the state machine of one request; the service's requests share the budget. */
   public RequestLifecycle(
       RequestProfile profile,
       LifecyclePolicy policy,
@@ -76,7 +66,7 @@
     this.outstanding =
         new OutstandingAttempts(
             policy, (ended, upstream) -> quarantine.released(upstream, profile.id(), ended));
-    this.quarantineGuard = new QuarantineGuard(profile, policy, quarantine, outstanding);
+    this.guard = new QuarantineGuard(profile, policy, quarantine, outstanding);
     this.kv = new KvTransferState(policy, outstanding);
     this.history = new AttemptHistory(profile, invariants);
     this.backOff = new BackOff(policy, random);
@@ -84,37 +74,37 @@
     this.progress = new RequestProgress(profile.receivedAtMillis());
   }
 
-  /** The request. */
+  /** Returns the request. */
   public RequestProfile profile() {
     return profile;
   }
 
-  /** Where the request is. */
+  /** Returns the current state. */
   public LifecycleState state() {
     return state;
   }
 
-  /** The current attempt, from one; zero before the first. */
+  /** Returns the number of the current attempt, from one; zero before the first. */
   public int attempt() {
     return attempt;
   }
 
-  /** How many tokens the caller has been given. */
+  /** Returns the number of tokens that the caller has been sent. */
   public int emittedTokens() {
     return nextIndex;
   }
 
-  /** The upstreams of the current attempt. */
+  /** Returns the upstreams of the current attempt. */
   public Optional<Grant> grant() {
     return grant;
   }
 
-  /** Whether it has ended and no upstream can hold anything of it. */
+  /** Returns whether the request has ended and no upstream can hold resources for it. */
   public boolean isSettled() {
     return state == LifecycleState.ENDED && outstanding.isEmpty();
   }
 
-  /** When the next {@link LifecycleEvent.TimePassed} is due. */
+  /** Returns when the next {@link LifecycleEvent.TimePassed} is due. */
   public Optional<Long> nextWakeMillis() {
     long backOffEnds = state == LifecycleState.BACKING_OFF ? waitUntilMillis : Long.MAX_VALUE;
     Stream<Long> own =
@@ -128,8 +118,8 @@
    * Handles one event.
    *
    * @param event what happened
-   * @param atMillis when, on the clock of this daemon
-   * @return what the shell has to do, in order
+   * @param atMillis when it happened, on the clock of this daemon
+   * @return the actions that the I/O layer has to perform, in order
    */
   public List<LifecycleAction> handle(LifecycleEvent event, long atMillis) {
     nowMillis = Math.max(nowMillis, atMillis);
@@ -144,7 +134,7 @@
       return;
     }
     budget.earn();
-    if (quarantineGuard.isQuarantined(nowMillis)) {
+    if (guard.isQuarantined(nowMillis)) {
       refuseQuarantined();
     } else if (profile.claimed()) {
       state = LifecycleState.CLAIMING;
@@ -171,19 +161,18 @@
       drop(DropReason.LATE_EVENT);
       return;
     }
-    // The claim may speak of a run by another daemon, so its run state stands.
+    // The refusal keeps its run state: the claim may record a run by another daemon.
     end(AttemptResult.CANCELLED, ClaimOutcome.NOT_RUN);
     answer(new LifecycleAction.Refuse(refusal));
   }
 
   private void tryToPlace() {
-    Suspicion suspicion = quarantineGuard.suspicion(nowMillis);
+    Suspicion suspicion = guard.suspicion(nowMillis);
     if (suspicion == Suspicion.QUARANTINED) {
       refuseQuarantined();
       return;
     }
-    if (suspicion == Suspicion.UNSETTLED
-        || quarantineGuard.isWaitingForCancels(suspicion, nowMillis)) {
+    if (suspicion == Suspicion.UNSETTLED || guard.isWaitingForCancels(suspicion, nowMillis)) {
       state = LifecycleState.BACKING_OFF;
       waitUntilMillis = nowMillis + UNSETTLED_RECHECK_MILLIS;
       return;
@@ -195,14 +184,13 @@
   }
 
   private PlacementRequest placementRequest(boolean alone) {
-    // A place is of use until the deadline, or until the caller has waited too long for a sign.
+    // A grant is useless after the deadline, or once the caller has given up waiting.
     long usefulUntilMillis =
         Math.min(
             profile.deadlineAtMillis(), progress.callerWaitsUntilMillis(policy.patienceMillis()));
     return new PlacementRequestBuilder(
             profile, attempt, generatedTokens(), usefulUntilMillis, kv.usable(nowMillis))
-        .build(
-            nowMillis, alone ? quarantineGuard.upstreamsToAvoid(avoid) : List.copyOf(avoid), alone);
+        .build(nowMillis, alone ? guard.upstreamsToAvoid(avoid) : List.copyOf(avoid), alone);
   }
 
   void granted(Grant given) {
@@ -211,10 +199,10 @@
       return;
     }
     grant = Optional.of(given);
-    if (quarantineGuard.isQuarantined(nowMillis)) {
+    if (guard.isQuarantined(nowMillis)) {
       state = LifecycleState.BACKING_OFF;
       refuseQuarantined();
-    } else if (quarantineGuard.wouldShareUpstreamWithSuspect(given, nowMillis)) {
+    } else if (guard.wouldShareUpstreamWithSuspect(given, nowMillis)) {
       placeLater();
     } else if (given.mode() == GrantMode.PLAIN) {
       sendPlain(given);
@@ -229,7 +217,7 @@
     }
   }
 
-  /** Gives up an attempt that was not sent to where it runs, and asks for another place soon. */
+  /** Ends an attempt that was granted and not run, and requests another placement soon. */
   private void placeLater() {
     reportEnd(AttemptResult.CANCELLED, Optional.empty());
     state = LifecycleState.BACKING_OFF;
@@ -243,16 +231,16 @@
     progress.expectProgressUntil(
         nowMillis + ESTIMATE_FACTOR * given.expectedPrefillMillis() + policy.prefillStallMillis());
     outstanding.add(attempt, upstream);
-    quarantineGuard.started(attempt, upstream);
+    guard.started(attempt, upstream);
     actions.add(new LifecycleAction.SendPrefill(attempt, upstream));
   }
 
   private void sendDecode(Grant given) {
-    if (quarantineGuard.isQuarantined(nowMillis)) {
+    if (guard.isQuarantined(nowMillis)) {
       refuseQuarantined();
       return;
     }
-    if (quarantineGuard.wouldShareUpstreamWithSuspect(given, nowMillis)) {
+    if (guard.wouldShareUpstreamWithSuspect(given, nowMillis)) {
       placeLater();
       return;
     }
@@ -266,7 +254,7 @@
     stallAfter(ESTIMATE_FACTOR * estimateMillis + policy.tokenStallMillis());
     history.recordSend(attempt);
     outstanding.add(attempt, given.target());
-    quarantineGuard.started(attempt, given.target());
+    guard.started(attempt, given.target());
     actions.add(new LifecycleAction.SendDecode(attempt, given.target(), nextIndex, kv.source()));
   }
 
@@ -279,7 +267,7 @@
     stallAfter(policy.answerStallMillis());
     progress.requestSent(nowMillis);
     history.recordSend(attempt);
-    quarantineGuard.started(attempt, given.target());
+    guard.started(attempt, given.target());
     actions.add(new LifecycleAction.SendPlain(attempt, given.target()));
   }
 
@@ -294,7 +282,7 @@
     }
     state = LifecycleState.BACKING_OFF;
     if (refused.refusal().reason() == RefusalReason.NO_UPSTREAM
-        && quarantineGuard.isAvoidingSuspects(avoid, nowMillis)) {
+        && guard.isAvoidingSuspects(avoid, nowMillis)) {
       waitUntilMillis = nowMillis + UNSETTLED_RECHECK_MILLIS;
     } else {
       refuse(refused.refusal());
@@ -308,8 +296,8 @@
     }
     Grant current = grant.orElseThrow();
     UpstreamName holder = current.prefill().orElseThrow();
-    quarantineGuard.stopRunning(attempt);
-    quarantineGuard.released(attempt, holder);
+    guard.stopRunning(attempt);
+    guard.released(attempt, holder);
     kv.store(
         new KvSource(
             holder,
@@ -345,13 +333,13 @@
     actions.add(new LifecycleAction.EmitToken(token.index(), token.text()));
   }
 
-  /** The first frame proves that the decode upstream has imported the KV cache. */
+  /** Releases the KV cache: the first frame proves that the decode upstream has imported it. */
   private void firstFrame() {
     if (frameSeen) {
       return;
     }
     frameSeen = true;
-    quarantineGuard.outputReceived(attempt);
+    guard.outputReceived(attempt);
     kv.release();
     report(AttemptPhase.GENERATING, 0, 0);
   }
@@ -373,7 +361,7 @@
                   finished.promptTokens(),
                   finished.cachedTokens(),
                   nextIndex)));
-      quarantineGuard.completed(nowMillis);
+      guard.completed(nowMillis);
       end(AttemptResult.COMPLETED, ClaimOutcome.COMPLETED);
     }
   }
@@ -387,11 +375,11 @@
     if (!finalResponse.isCallerDisconnected()) {
       answer(new LifecycleAction.DeliverResponse(attempt));
     }
-    quarantineGuard.completed(nowMillis);
+    guard.completed(nowMillis);
     end(AttemptResult.COMPLETED, ClaimOutcome.COMPLETED);
   }
 
-  /** Retries a request that may run again, and keeps the failure response in case none succeeds. */
+  /** Retries a request that may run again; keeps the failure response in case no retry succeeds. */
   void failureAnswered(LifecycleEvent.FailureResponseReceived failed) {
     boolean awaited =
         state == LifecycleState.PLAIN_RUNNING || (state == LifecycleState.GENERATING && !frameSeen);
@@ -402,13 +390,13 @@
     UpstreamName upstream = grant.orElseThrow().target();
     history.upstreamReached();
     outstanding.release(attempt, upstream);
-    quarantineGuard.stopRunning(attempt);
+    guard.stopRunning(attempt);
     kv.release();
     finalResponse.keepFailureResponse(attempt);
     reportEnd(AttemptResult.FAILED, Optional.of(upstream));
     if (!profile.repeatability().isResendable() || !mayTryAgain() || !budget.trySpend()) {
       state = LifecycleState.BACKING_OFF;
-      refuse(RefusalReason.UPSTREAM_FAILED, "The upstream answered that it had failed.");
+      refuse(RefusalReason.UPSTREAM_FAILED, "The upstream responded with a failure.");
       return;
     }
     avoid.add(upstream);
@@ -426,7 +414,7 @@
       outstanding.release(failed.attempt(), failed.upstream());
     }
     boolean isCurrent = state.isRunning() && failed.attempt() == attempt;
-    if (isCurrent && quarantineGuard.isRunningOn(failed.upstream())) {
+    if (isCurrent && guard.isRunningOn(failed.upstream())) {
       failCurrent(failed.failure());
     } else {
       drop(DropReason.LATE_EVENT);
@@ -440,19 +428,19 @@
   void upstreamRestarted(UpstreamName upstream) {
     outstanding.releaseAll(upstream);
     kv.holderRestarted(upstream);
-    if (state.isRunning() && quarantineGuard.isRunningOn(upstream)) {
+    if (state.isRunning() && guard.isRunningOn(upstream)) {
       failCurrent(UpstreamFailure.CUT);
     }
   }
 
-  /** Ends the current attempt with a failure, and tries again where that is allowed. */
+  /** Ends the current attempt with a failure and retries where that is allowed. */
   private void failCurrent(UpstreamFailure failure) {
-    UpstreamName upstream = quarantineGuard.runningOn().orElseThrow();
+    UpstreamName upstream = guard.runningOn().orElseThrow();
     boolean prefillFailed = state == LifecycleState.PREFILLING;
     if (failure.isCrashSign()) {
-      quarantineGuard.connectionLost(attempt, upstream, nowMillis);
+      guard.connectionLost(attempt, upstream, nowMillis);
     }
-    quarantineGuard.stopRunning(attempt);
+    guard.stopRunning(attempt);
     if (failure.isNotRun()) {
       history.markNotRun(attempt);
     }
@@ -529,14 +517,14 @@
   }
 
   private void refuseQuarantined() {
-    refuse(RefusalReason.QUARANTINED, quarantineGuard.refusalDetail());
+    refuse(RefusalReason.QUARANTINED, guard.refusalDetail());
   }
 
   private void refuse(RefusalReason reason, String detail) {
     refuse(Refusal.notRun(reason, detail));
   }
 
-  /** Refuses with the run state that is known here, whatever the refusal itself says of one. */
+  /** Refuses with the run state of this lifecycle, in place of that of the refusal. */
   private void refuse(Refusal refusal) {
     finalResponse.unsuccessfulEnd(refusal, history.runState()).ifPresent(this::answer);
     end(AttemptResult.CANCELLED, history.outcomeWithoutResponse());
@@ -556,7 +544,7 @@
     if (cut) {
       actions.add(new LifecycleAction.CloseAttempt(attempt));
     }
-    quarantineGuard.stopRunning(attempt);
+    guard.stopRunning(attempt);
     if (waiting) {
       actions.add(new LifecycleAction.Withdraw(profile.id()));
     }
@@ -582,7 +570,7 @@
     }
   }
 
-  /** Silence ends an attempt only where another may follow; else it is no reason to end sooner. */
+  /** Limits the wait for progress, but only where another attempt may follow. */
   private void stallAfter(long millis) {
     progress.stopExpectingProgress();
     if (profile.repeatability().isResendable()) {
