--- a/core/src/main/java/org/marjoramsail/core/outcome/LifecyclePolicy.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/LifecyclePolicy.java
@@ -13,9 +13,9 @@
  * @param prefillStallMillis how long beyond four times its estimate a prefill may stay silent
  * @param tokenStallMillis how long a stream may stay silent
  * @param maximumSends how many upstreams one request is sent to at most, prefills left out
- * @param answerStallMillis how long a plain answer to a request that may be repeated may take
+ * @param responseStallMillis how long a plain answer to a request that may be repeated may take
  *     before another upstream is tried
- * @param patienceMillis how long a caller waits without a sign before it leaves
+ * @param callerPatienceMillis how long a caller waits without a sign before it leaves
  */
 public record LifecyclePolicy(
     int maximumAttempts,
@@ -28,10 +28,10 @@
     long prefillStallMillis,
     long tokenStallMillis,
     int maximumSends,
-    long answerStallMillis,
-    long patienceMillis) {
+    long responseStallMillis,
+    long callerPatienceMillis) {
 
-  private static final long NEVER_MILLIS = Long.MAX_VALUE / 4;
+  private static final long UNLIMITED_MILLIS = Long.MAX_VALUE / 4;
 
   /** Bounds of requests that may be sent often and whose callers wait for as long as it takes. */
   public LifecyclePolicy(
@@ -55,8 +55,8 @@
         prefillStallMillis,
         tokenStallMillis,
         maximumAttempts,
-        NEVER_MILLIS,
-        NEVER_MILLIS);
+        UNLIMITED_MILLIS,
+        UNLIMITED_MILLIS);
   }
 
   /** The bounds that daemons use where their settings say nothing else. */
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
@@ -187,7 +187,8 @@
     // A grant is useless after the deadline, or once the caller has given up waiting.
     long usefulUntilMillis =
         Math.min(
-            profile.deadlineAtMillis(), progress.callerWaitsUntilMillis(policy.patienceMillis()));
+            profile.deadlineAtMillis(),
+            progress.callerWaitsUntilMillis(policy.callerPatienceMillis()));
     return new PlacementRequestBuilder(
             profile, attempt, generatedTokens(), usefulUntilMillis, kv.usable(nowMillis))
         .build(nowMillis, alone ? guard.upstreamsToAvoid(avoid) : List.copyOf(avoid), alone);
@@ -264,7 +265,7 @@
       return;
     }
     state = LifecycleState.PLAIN_RUNNING;
-    stallAfter(policy.answerStallMillis());
+    stallAfter(policy.responseStallMillis());
     progress.requestSent(nowMillis);
     history.recordSend(attempt);
     guard.started(attempt, given.target());
@@ -437,7 +438,7 @@
   private void failCurrent(UpstreamFailure failure) {
     UpstreamName upstream = guard.runningOn().orElseThrow();
     boolean prefillFailed = state == LifecycleState.PREFILLING;
-    if (failure.isCrashSign()) {
+    if (failure.mayBeCrash()) {
       guard.connectionLost(attempt, upstream, nowMillis);
     }
     guard.stopRunning(attempt);
--- a/core/src/main/java/org/marjoramsail/core/outcome/UpstreamFailure.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/UpstreamFailure.java
@@ -57,7 +57,7 @@
   }
 
   /** Whether the upstream itself may have died, so that what ran on it becomes suspect. */
-  public boolean isCrashSign() {
+  public boolean mayBeCrash() {
     return this == CUT;
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/routing/PlainResponseTimesTest.java
+++ b/core/src/test/java/org/marjoramsail/core/routing/PlainResponseTimesTest.java
@@ -27,7 +27,7 @@
   @Test
   void anAnswerOfAQuickServiceIsLookedForElsewhereBeforeItsTarget() {
     times.learn("desk", 50);
-    assertThat(ForwardingRules.policyOf(ROUTE, times.overdueMillis("desk")).answerStallMillis())
+    assertThat(ForwardingRules.policyOf(ROUTE, times.overdueMillis("desk")).responseStallMillis())
         .isEqualTo(280);
   }
 
@@ -40,7 +40,7 @@
     for (int answer = 0; answer < 50; answer++) {
       times.learn("desk", 350);
     }
-    assertThat(ForwardingRules.policyOf(ROUTE, times.overdueMillis("desk")).answerStallMillis())
+    assertThat(ForwardingRules.policyOf(ROUTE, times.overdueMillis("desk")).responseStallMillis())
         .isEqualTo(1_050);
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/CompletionSender.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/CompletionSender.java
@@ -212,7 +212,7 @@
       UpstreamFailure failure,
       Consumer<LifecycleEvent> events) {
     events.accept(new LifecycleEvent.UpstreamFailed(attempt, upstream, failure));
-    if (failure.isCrashSign()) {
+    if (failure.mayBeCrash()) {
       clients.directory().definition(upstream).ifPresent(clients.probe());
     }
   }
