--- a/core/src/main/java/org/marjoramsail/core/outcome/LifecycleDispatch.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/LifecycleDispatch.java
@@ -18,10 +18,10 @@
       lifecycle.streamFinished(finished);
     } else if (event instanceof LifecycleEvent.Prefilled prefilled) {
       lifecycle.prefilled(prefilled);
-    } else if (event instanceof LifecycleEvent.PlainResponseReceived answered) {
-      lifecycle.plainResponseReceived(answered);
+    } else if (event instanceof LifecycleEvent.PlainResponseReceived response) {
+      lifecycle.plainResponseReceived(response);
     } else if (event instanceof LifecycleEvent.FailureResponseReceived failed) {
-      lifecycle.failureAnswered(failed);
+      lifecycle.failureResponseReceived(failed);
     } else if (event instanceof LifecycleEvent.UpstreamFailed failed) {
       lifecycle.upstreamFailed(failed);
     } else if (event instanceof LifecycleEvent.CancelConfirmed confirmed) {
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
@@ -26,7 +26,7 @@
  */
 public final class RequestLifecycle {
 
-  private static final int ESTIMATE_FACTOR = 4;
+  private static final int STALL_ESTIMATE_FACTOR = 4;
   private static final long UNSETTLED_RECHECK_MILLIS = 100;
 
   private final RequestProfile profile;
@@ -40,14 +40,14 @@
   private final BackOff backOff;
   private final FinalResponse finalResponse = new FinalResponse();
   private final RequestProgress progress;
-  private final Set<UpstreamName> avoid = new LinkedHashSet<>();
+  private final Set<UpstreamName> failedUpstreams = new LinkedHashSet<>();
   private List<LifecycleAction> actions = new ArrayList<>();
 
   private LifecycleState state = LifecycleState.RECEIVED;
   private long nowMillis;
   private int attempt;
-  private int nextIndex;
-  private boolean frameSeen;
+  private int nextTokenIndex;
+  private boolean firstFrameSeen;
   private long waitUntilMillis;
   private Optional<Grant> grant = Optional.empty();
 
@@ -91,7 +91,7 @@
 
   /** Returns the number of tokens that the caller has been sent. */
   public int emittedTokens() {
-    return nextIndex;
+    return nextTokenIndex;
   }
 
   /** Returns the upstreams of the current attempt. */
@@ -106,12 +106,14 @@
 
   /** Returns when the next {@link LifecycleEvent.TimePassed} is due. */
   public Optional<Long> nextWakeMillis() {
-    long backOffEnds = state == LifecycleState.BACKING_OFF ? waitUntilMillis : Long.MAX_VALUE;
-    Stream<Long> own =
+    long backOffEndsAtMillis =
+        state == LifecycleState.BACKING_OFF ? waitUntilMillis : Long.MAX_VALUE;
+    Stream<Long> ownWakeTimes =
         state == LifecycleState.ENDED
             ? Stream.empty()
-            : Stream.of(profile.deadlineAtMillis(), progress.stallAtMillis(), backOffEnds);
-    return Stream.concat(own, outstanding.nextRepeatAtMillis().stream()).min(Long::compare);
+            : Stream.of(profile.deadlineAtMillis(), progress.stallAtMillis(), backOffEndsAtMillis);
+    return Stream.concat(ownWakeTimes, outstanding.nextRepeatAtMillis().stream())
+        .min(Long::compare);
   }
 
   /**
@@ -130,7 +132,7 @@
 
   void started() {
     if (state != LifecycleState.RECEIVED) {
-      drop(DropReason.LATE_EVENT);
+      countDrop(DropReason.LATE_EVENT);
       return;
     }
     budget.earn();
@@ -152,18 +154,18 @@
       history.claimRecorded();
       tryToPlace();
     } else {
-      drop(DropReason.LATE_EVENT);
+      countDrop(DropReason.LATE_EVENT);
     }
   }
 
   void claimRefused(Refusal refusal) {
     if (state != LifecycleState.CLAIMING) {
-      drop(DropReason.LATE_EVENT);
+      countDrop(DropReason.LATE_EVENT);
       return;
     }
     // The refusal keeps its run state: the claim may record a run by another daemon.
     end(AttemptResult.CANCELLED, ClaimOutcome.NOT_RUN);
-    answer(new LifecycleAction.Refuse(refusal));
+    sendFinalResponse(new LifecycleAction.Refuse(refusal));
   }
 
   private void tryToPlace() {
@@ -178,112 +180,118 @@
       return;
     }
     attempt++;
-    frameSeen = false;
+    firstFrameSeen = false;
     state = LifecycleState.PLACING;
     actions.add(new LifecycleAction.Place(placementRequest(suspicion == Suspicion.SUSPECT)));
   }
 
-  private PlacementRequest placementRequest(boolean alone) {
-    // A grant is useless after the deadline, or once the caller has given up waiting.
+  private PlacementRequest placementRequest(boolean isolated) {
+    // A grant is useless after the deadline, or once the caller has newGrant up waiting.
     long usefulUntilMillis =
         Math.min(
             profile.deadlineAtMillis(),
             progress.callerWaitsUntilMillis(policy.callerPatienceMillis()));
     return new PlacementRequestBuilder(
             profile, attempt, generatedTokens(), usefulUntilMillis, kv.usable(nowMillis))
-        .build(nowMillis, alone ? guard.upstreamsToAvoid(avoid) : List.copyOf(avoid), alone);
+        .build(
+            nowMillis,
+            isolated ? guard.upstreamsToAvoid(failedUpstreams) : List.copyOf(failedUpstreams),
+            isolated);
   }
 
-  void granted(Grant given) {
-    if (state != LifecycleState.PLACING || given.attempt() != attempt) {
-      drop(DropReason.LATE_GRANT);
+  void granted(Grant newGrant) {
+    if (state != LifecycleState.PLACING || newGrant.attempt() != attempt) {
+      countDrop(DropReason.LATE_GRANT);
       return;
     }
-    grant = Optional.of(given);
+    grant = Optional.of(newGrant);
     if (guard.isQuarantined(nowMillis)) {
       state = LifecycleState.BACKING_OFF;
       refuseQuarantined();
-    } else if (guard.wouldShareUpstreamWithSuspect(given, nowMillis)) {
-      placeLater();
-    } else if (given.mode() == GrantMode.PLAIN) {
-      sendPlain(given);
-    } else if (given.mode() == GrantMode.LOCAL_PREFILL) {
+    } else if (guard.wouldShareUpstreamWithSuspect(newGrant, nowMillis)) {
+      postponePlacement();
+    } else if (newGrant.mode() == GrantMode.PLAIN) {
+      sendPlain(newGrant);
+    } else if (newGrant.mode() == GrantMode.LOCAL_PREFILL) {
       actions.addAll(kv.cancel(nowMillis));
-      sendDecode(given);
-    } else if (kv.isUsableOn(given.prefill(), nowMillis)) {
-      sendDecode(given);
+      sendDecode(newGrant);
+    } else if (kv.isUsableOn(newGrant.prefill(), nowMillis)) {
+      sendDecode(newGrant);
     } else {
       actions.addAll(kv.cancel(nowMillis));
-      sendPrefill(given);
+      sendPrefill(newGrant);
     }
   }
 
   /** Ends an attempt that was granted and not run, and requests another placement soon. */
-  private void placeLater() {
+  private void postponePlacement() {
     reportEnd(AttemptResult.CANCELLED, Optional.empty());
     state = LifecycleState.BACKING_OFF;
     progress.stopExpectingProgress();
     waitUntilMillis = nowMillis + UNSETTLED_RECHECK_MILLIS;
   }
 
-  private void sendPrefill(Grant given) {
-    UpstreamName upstream = given.prefill().orElseThrow();
+  private void sendPrefill(Grant newGrant) {
+    UpstreamName upstream = newGrant.prefill().orElseThrow();
     state = LifecycleState.PREFILLING;
     progress.expectProgressUntil(
-        nowMillis + ESTIMATE_FACTOR * given.expectedPrefillMillis() + policy.prefillStallMillis());
+        nowMillis
+            + STALL_ESTIMATE_FACTOR * newGrant.expectedPrefillMillis()
+            + policy.prefillStallMillis());
     outstanding.add(attempt, upstream);
     guard.started(attempt, upstream);
     actions.add(new LifecycleAction.SendPrefill(attempt, upstream));
   }
 
-  private void sendDecode(Grant given) {
+  private void sendDecode(Grant newGrant) {
     if (guard.isQuarantined(nowMillis)) {
       refuseQuarantined();
       return;
     }
-    if (guard.wouldShareUpstreamWithSuspect(given, nowMillis)) {
-      placeLater();
+    if (guard.wouldShareUpstreamWithSuspect(newGrant, nowMillis)) {
+      postponePlacement();
       return;
     }
     if (!history.maySend()) {
-      refuseFault();
+      refuseInvariantViolation();
       return;
     }
     state = LifecycleState.GENERATING;
     progress.attemptStarted();
-    long estimateMillis = given.expectedPrefillMillis() + given.expectedTransferMillis();
-    stallAfter(ESTIMATE_FACTOR * estimateMillis + policy.tokenStallMillis());
+    long estimateMillis = newGrant.expectedPrefillMillis() + newGrant.expectedTransferMillis();
+    expectProgressWithin(STALL_ESTIMATE_FACTOR * estimateMillis + policy.tokenStallMillis());
     history.recordSend(attempt);
-    outstanding.add(attempt, given.target());
-    guard.started(attempt, given.target());
-    actions.add(new LifecycleAction.SendDecode(attempt, given.target(), nextIndex, kv.source()));
+    outstanding.add(attempt, newGrant.target());
+    guard.started(attempt, newGrant.target());
+    actions.add(
+        new LifecycleAction.SendDecode(attempt, newGrant.target(), nextTokenIndex, kv.source()));
   }
 
-  private void sendPlain(Grant given) {
+  private void sendPlain(Grant newGrant) {
     if (!history.maySend()) {
-      refuseFault();
+      refuseInvariantViolation();
       return;
     }
     state = LifecycleState.PLAIN_RUNNING;
-    stallAfter(policy.responseStallMillis());
+    expectProgressWithin(policy.responseStallMillis());
     progress.requestSent(nowMillis);
     history.recordSend(attempt);
-    guard.started(attempt, given.target());
-    actions.add(new LifecycleAction.SendPlain(attempt, given.target()));
+    guard.started(attempt, newGrant.target());
+    actions.add(new LifecycleAction.SendPlain(attempt, newGrant.target()));
   }
 
-  private void refuseFault() {
+  private void refuseInvariantViolation() {
     refuse(RefusalReason.INTERNAL, "The request was not sent: an invariant did not hold.");
   }
 
   void placementRefused(LifecycleEvent.PlacementRefused refused) {
     if (state != LifecycleState.PLACING || refused.attempt() != attempt) {
-      drop(DropReason.LATE_EVENT);
+      countDrop(DropReason.LATE_EVENT);
       return;
     }
     state = LifecycleState.BACKING_OFF;
     if (refused.refusal().reason() == RefusalReason.NO_UPSTREAM
-        && guard.isAvoidingSuspects(avoid, nowMillis)) {
+        && guard.isAvoidingSuspects(failedUpstreams, nowMillis)) {
       waitUntilMillis = nowMillis + UNSETTLED_RECHECK_MILLIS;
     } else {
       refuse(refused.refusal());
@@ -292,16 +300,16 @@
 
   void prefilled(LifecycleEvent.Prefilled event) {
     if (state != LifecycleState.PREFILLING || event.attempt() != attempt) {
-      drop(DropReason.LATE_EVENT);
+      countDrop(DropReason.LATE_EVENT);
       return;
     }
     Grant current = grant.orElseThrow();
-    UpstreamName holder = current.prefill().orElseThrow();
+    UpstreamName prefillUpstream = current.prefill().orElseThrow();
     guard.stopRunning(attempt);
-    guard.released(attempt, holder);
+    guard.released(attempt, prefillUpstream);
     kv.store(
         new KvSource(
-            holder,
+            prefillUpstream,
             attempt,
             event.handle(),
             event.promptTokens(),
@@ -312,34 +320,34 @@
 
   void tokenArrived(LifecycleEvent.TokenArrived token) {
     if (!token.request().equals(profile.id())) {
-      drop(DropReason.CROSSED_FRAME);
+      countDrop(DropReason.CROSSED_FRAME);
     } else if (state != LifecycleState.GENERATING || token.attempt() != attempt) {
-      drop(DropReason.LATE_FRAME);
-    } else if (token.index() < nextIndex) {
-      drop(DropReason.REPEATED_FRAME);
-    } else if (token.index() > nextIndex) {
+      countDrop(DropReason.LATE_FRAME);
+    } else if (token.index() < nextTokenIndex) {
+      countDrop(DropReason.REPEATED_FRAME);
+    } else if (token.index() > nextTokenIndex) {
       failCurrent(UpstreamFailure.MALFORMED);
     } else {
-      firstFrame();
+      firstFrameReceived();
       emit(token);
     }
   }
 
   private void emit(LifecycleEvent.TokenArrived token) {
-    invariants.check(token.index() == nextIndex, Invariant.TOKENS_IN_ORDER, profile.id());
+    invariants.check(token.index() == nextTokenIndex, Invariant.TOKENS_IN_ORDER, profile.id());
     invariants.check(!finalResponse.isSent(), Invariant.SILENT_AFTER_END, profile.id());
-    nextIndex++;
+    nextTokenIndex++;
     progress.chunkSent(nowMillis);
-    stallAfter(policy.tokenStallMillis());
+    expectProgressWithin(policy.tokenStallMillis());
     actions.add(new LifecycleAction.EmitToken(token.index(), token.text()));
   }
 
   /** Releases the KV cache: the first frame proves that the decode upstream has imported it. */
-  private void firstFrame() {
-    if (frameSeen) {
+  private void firstFrameReceived() {
+    if (firstFrameSeen) {
       return;
     }
-    frameSeen = true;
+    firstFrameSeen = true;
     guard.outputReceived(attempt);
     kv.release();
     report(AttemptPhase.GENERATING, 0, 0);
@@ -347,45 +355,46 @@
 
   void streamFinished(LifecycleEvent.StreamFinished finished) {
     if (!finished.request().equals(profile.id())) {
-      drop(DropReason.CROSSED_FRAME);
+      countDrop(DropReason.CROSSED_FRAME);
     } else if (state != LifecycleState.GENERATING || finished.attempt() != attempt) {
-      drop(DropReason.LATE_FRAME);
-    } else if (finished.index() != nextIndex) {
+      countDrop(DropReason.LATE_FRAME);
+    } else if (finished.index() != nextTokenIndex) {
       failCurrent(UpstreamFailure.MALFORMED);
     } else {
-      firstFrame();
+      firstFrameReceived();
       outstanding.release(attempt, grant.orElseThrow().target());
-      answer(
+      sendFinalResponse(
           new LifecycleAction.Complete(
               new Completion(
                   finished.finishReason(),
                   finished.promptTokens(),
                   finished.cachedTokens(),
-                  nextIndex)));
+                  nextTokenIndex)));
       guard.completed(nowMillis);
       end(AttemptResult.COMPLETED, ClaimOutcome.COMPLETED);
     }
   }
 
-  void plainResponseReceived(LifecycleEvent.PlainResponseReceived answered) {
-    if (state != LifecycleState.PLAIN_RUNNING || answered.attempt() != attempt) {
-      drop(DropReason.LATE_EVENT);
+  void plainResponseReceived(LifecycleEvent.PlainResponseReceived response) {
+    if (state != LifecycleState.PLAIN_RUNNING || response.attempt() != attempt) {
+      countDrop(DropReason.LATE_EVENT);
       return;
     }
     progress.responseReceived(nowMillis);
     if (!finalResponse.isCallerDisconnected()) {
-      answer(new LifecycleAction.DeliverResponse(attempt));
+      sendFinalResponse(new LifecycleAction.DeliverResponse(attempt));
     }
     guard.completed(nowMillis);
     end(AttemptResult.COMPLETED, ClaimOutcome.COMPLETED);
   }
 
   /** Retries a request that may run again; keeps the failure response in case no retry succeeds. */
-  void failureAnswered(LifecycleEvent.FailureResponseReceived failed) {
-    boolean awaited =
-        state == LifecycleState.PLAIN_RUNNING || (state == LifecycleState.GENERATING && !frameSeen);
-    if (!awaited || failed.attempt() != attempt) {
-      drop(DropReason.LATE_EVENT);
+  void failureResponseReceived(LifecycleEvent.FailureResponseReceived failed) {
+    boolean isAwaited =
+        state == LifecycleState.PLAIN_RUNNING
+            || (state == LifecycleState.GENERATING && !firstFrameSeen);
+    if (!isAwaited || failed.attempt() != attempt) {
+      countDrop(DropReason.LATE_EVENT);
       return;
     }
     UpstreamName upstream = grant.orElseThrow().target();
@@ -400,7 +409,7 @@
       refuse(RefusalReason.UPSTREAM_FAILED, "The upstream responded with a failure.");
       return;
     }
-    avoid.add(upstream);
+    failedUpstreams.add(upstream);
     actions.add(new LifecycleAction.CountRetry(RetryReason.UPSTREAM_ERROR));
     progress.stopExpectingProgress();
     tryToPlace();
@@ -418,7 +427,7 @@
     if (isCurrent && guard.isRunningOn(failed.upstream())) {
       failCurrent(failed.failure());
     } else {
-      drop(DropReason.LATE_EVENT);
+      countDrop(DropReason.LATE_EVENT);
     }
   }
 
@@ -456,7 +465,7 @@
     if (failure == UpstreamFailure.KV_EXPIRED) {
       kv.release();
     } else {
-      avoid.add(upstream);
+      failedUpstreams.add(upstream);
     }
     if (history.mayHaveRun() && !profile.repeatability().isResendable()) {
       refuse(
@@ -469,8 +478,8 @@
   }
 
   private void retry(RetryReason reason) {
-    boolean free = reason == RetryReason.UPSTREAM_LEAVING || !history.hasReachedUpstream();
-    if (!mayTryAgain() || !(free || budget.trySpend())) {
+    boolean needsNoBudget = reason == RetryReason.UPSTREAM_LEAVING || !history.hasReachedUpstream();
+    if (!mayTryAgain() || !(needsNoBudget || budget.trySpend())) {
       refuse(
           RefusalReason.RETRIES_EXHAUSTED,
           "Attempt " + attempt + " failed (" + reason.code() + ") and no retry is left.");
@@ -527,26 +536,26 @@
 
   /** Refuses with the run state of this lifecycle, in place of that of the refusal. */
   private void refuse(Refusal refusal) {
-    finalResponse.unsuccessfulEnd(refusal, history.runState()).ifPresent(this::answer);
+    finalResponse.unsuccessfulEnd(refusal, history.runState()).ifPresent(this::sendFinalResponse);
     end(AttemptResult.CANCELLED, history.outcomeWithoutResponse());
   }
 
-  private void answer(LifecycleAction action) {
+  private void sendFinalResponse(LifecycleAction action) {
     if (invariants.check(finalResponse.markSent(), Invariant.SILENT_AFTER_END, profile.id())) {
       actions.add(action);
     }
   }
 
   private void end(AttemptResult result, ClaimOutcome outcome) {
-    boolean waiting = state == LifecycleState.PLACING;
-    boolean cut = state.isRunning() && outcome != ClaimOutcome.COMPLETED;
+    boolean wasPlacing = state == LifecycleState.PLACING;
+    boolean wasRunning = state.isRunning() && outcome != ClaimOutcome.COMPLETED;
     state = LifecycleState.ENDED;
     progress.stopExpectingProgress();
-    if (cut) {
+    if (wasRunning) {
       actions.add(new LifecycleAction.CloseAttempt(attempt));
     }
     guard.stopRunning(attempt);
-    if (waiting) {
+    if (wasPlacing) {
       actions.add(new LifecycleAction.Withdraw(profile.id()));
     }
     reportEnd(result, Optional.empty());
@@ -572,7 +581,7 @@
   }
 
   /** Limits the wait for progress, but only where another attempt may follow. */
-  private void stallAfter(long millis) {
+  private void expectProgressWithin(long millis) {
     progress.stopExpectingProgress();
     if (profile.repeatability().isResendable()) {
       progress.expectProgressUntil(nowMillis + millis);
@@ -580,10 +589,10 @@
   }
 
   private int generatedTokens() {
-    return nextIndex * profile.chunking().tokens();
+    return nextTokenIndex * profile.chunking().tokens();
   }
 
-  private void drop(DropReason reason) {
+  private void countDrop(DropReason reason) {
     actions.add(new LifecycleAction.CountDrop(reason));
   }
 }
