--- a/core/src/main/java/org/marjoramsail/core/outcome/RetryBudget.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RetryBudget.java
@@ -16,13 +16,13 @@
    * The part of a shared slack that daemons hand out between them: windows of those who count are
    * not those of daemons, and requests that a daemon forwards are counted where they arrive.
    */
-  private static final double SLACK_SHARE = 0.5;
+  private static final double USABLE_SLACK_SHARE = 0.5;
 
   /** The part of an allowed ratio that is used, for what is counted otherwise. */
-  private static final double RATIO_SHARE = 0.8;
+  private static final double USABLE_RATIO_SHARE = 0.8;
 
   /** At least so many daemons share the slack, also while fewer are known. */
-  private static final int FEWEST_DAEMONS = 6;
+  private static final int MINIMUM_DAEMONS = 6;
 
   private final double share;
   private final double reserve;
@@ -45,12 +45,12 @@
    *
    * @param share how much of a retry each first send earns
    * @param reserve how many retries may be saved up
-   * @param first how many there are at the start
+   * @param initial how many there are at the start
    */
-  public RetryBudget(double share, double reserve, double first) {
+  public RetryBudget(double share, double reserve, double initial) {
     this.share = share;
     this.reserve = reserve;
-    this.tokens = Math.min(reserve, first);
+    this.tokens = Math.min(reserve, initial);
   }
 
   /**
@@ -60,9 +60,9 @@
    * @param slack how many it may make beside these
    * @param daemons how many daemons there are
    */
-  public static RetryBudget partOf(double ratio, double slack, int daemons) {
-    double reserve = slack * SLACK_SHARE / Math.max(FEWEST_DAEMONS, daemons);
-    return new RetryBudget(ratio * RATIO_SHARE, reserve, reserve / 2);
+  public static RetryBudget shareOfFleet(double ratio, double slack, int daemons) {
+    double reserve = slack * USABLE_SLACK_SHARE / Math.max(MINIMUM_DAEMONS, daemons);
+    return new RetryBudget(ratio * USABLE_RATIO_SHARE, reserve, reserve / 2);
   }
 
   /** Earns for a first send. */
--- a/core/src/test/java/org/marjoramsail/core/outcome/RetryBudgetTest.java
+++ b/core/src/test/java/org/marjoramsail/core/outcome/RetryBudgetTest.java
@@ -60,8 +60,8 @@
     int daemons = 7;
     int retries = 0;
     for (int daemon = 0; daemon < daemons; daemon++) {
-      retries += spendAll(savedUp(RetryBudget.partOf(0.2, slack, daemons)));
-      retries += spendAll(RetryBudget.partOf(0.2, slack, daemons));
+      retries += spendAll(savedUp(RetryBudget.shareOfFleet(0.2, slack, daemons)));
+      retries += spendAll(RetryBudget.shareOfFleet(0.2, slack, daemons));
     }
 
     assertThat(retries).isPositive().isLessThanOrEqualTo((int) slack);
@@ -69,7 +69,7 @@
 
   @Test
   void aDaemonThatKnowsOfNoOtherTakesNoMoreThanASixthOfHalfTheSlack() {
-    assertThat(spendAll(savedUp(RetryBudget.partOf(0.2, 54, 1)))).isEqualTo(4);
+    assertThat(spendAll(savedUp(RetryBudget.shareOfFleet(0.2, 54, 1)))).isEqualTo(4);
   }
 
   private static RetryBudget savedUp(RetryBudget budget) {
