--- a/core/src/main/java/org/marjoramsail/core/outcome/AttemptHistory.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/AttemptHistory.java
@@ -9,7 +9,7 @@
 import org.marjoramsail.core.placement.AttemptReport;
 import org.marjoramsail.core.placement.AttemptResult;
 
-/** Keeps what is known of each attempt of one request: whether it may have run, and its reports. */
+/** Records which attempts of one request were sent, may have run and were reported. */
 final class AttemptHistory {
 
   private final RequestProfile profile;
@@ -25,7 +25,7 @@
     this.invariants = invariants;
   }
 
-  /** Whether the invariants let an attempt be sent to where it runs. */
+  /** Returns whether the invariants allow the request to be sent to where it runs. */
   boolean maySend() {
     boolean mayRunAgain = profile.repeatability().isResendable() || possiblyRun.isEmpty();
     boolean claimed = !profile.claimed() || claimRecorded;
@@ -46,24 +46,24 @@
     sends++;
   }
 
-  /** How many attempts were sent to where they run. */
+  /** Returns the number of attempts that were sent to where they run. */
   int sends() {
     return sends;
   }
 
-  /** Takes back a send for which no connection came about; a prefill never counted. */
+  /** Uncounts a send for which no connection was established. Prefills are not counted at all. */
   void undoSend(boolean prefill) {
     if (!prefill) {
       sends--;
     }
   }
 
-  /** Notes that an attempt reached an upstream, so that the next one is a repeat there. */
+  /** Records that an attempt reached an upstream, so that the next one needs retry budget. */
   void upstreamReached() {
     upstreamReached = true;
   }
 
-  /** Whether an upstream has met the request, be it only to turn it away. */
+  /** Returns whether any upstream has received the request, including one that refused it. */
   boolean hasReachedUpstream() {
     return upstreamReached;
   }
@@ -77,11 +77,10 @@
   }
 
   /**
-   * What is proven of the run.
+   * Returns whether the request is proven not to have run.
    *
-   * <p>Guards against a ballot that is called not run though its voter's first try ran it: a repeat
-   * with the same key is refused elsewhere before its claim could be read, during an outage of the
-   * store, say. Only a recorded claim proves that no earlier request with the key was sent.
+   * <p>A keyed request without a recorded claim is never reported as not run: an earlier request
+   * with the same key may have run elsewhere, and only a recorded claim excludes that.
    */
   RunState runState() {
     boolean earlierMayHaveRun = profile.claimed() && !claimRecorded;
@@ -106,7 +105,7 @@
             outputTokens));
   }
 
-  /** The one report of an attempt's end; nothing when it was already given. */
+  /** Returns the report of the end of an attempt; empty when it was already reported. */
   Optional<LifecycleAction> endReport(
       int attempt,
       AttemptResult result,
--- a/core/src/main/java/org/marjoramsail/core/outcome/BackOff.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/BackOff.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-/** Waits before retries: exponential with full jitter. */
+/** Computes waits before retries: exponential with full jitter. */
 final class BackOff {
 
   private static final int MAXIMUM_DOUBLINGS = 16;
--- a/core/src/main/java/org/marjoramsail/core/outcome/ClaimOutcome.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/ClaimOutcome.java
@@ -1,11 +1,11 @@
 package org.marjoramsail.core.outcome;
 
-/** How a claimed request ended, for those who send it again with the same key. */
+/** Recorded end of a claimed request, for repeats with the same key. */
 public enum ClaimOutcome {
-  /** Its answer was received whole. */
+  /** The response was received completely. */
   COMPLETED,
-  /** It was not run, so that a repeat may run it. */
+  /** The request was not run, so that a repeat may run it. */
   NOT_RUN,
-  /** It may have run, so that a repeat must not run it. */
+  /** The request may have run, so that a repeat must not run it. */
   UNKNOWN
 }
--- a/core/src/main/java/org/marjoramsail/core/outcome/Completion.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/Completion.java
@@ -1,12 +1,12 @@
 package org.marjoramsail.core.outcome;
 
 /**
- * The end of a whole answer.
+ * End of a complete output.
  *
- * @param finishReason why the engine stopped, in its words
+ * @param finishReason reason for which the engine stopped, in its terms
  * @param promptTokens length of the prompt
- * @param cachedTokens how much of it an engine had in its cache
- * @param outputTokens length of the answer
+ * @param cachedTokens number of prompt tokens that an engine had in its cache
+ * @param outputTokens length of the output
  */
 public record Completion(
     String finishReason, int promptTokens, int cachedTokens, int outputTokens) {}
--- a/core/src/main/java/org/marjoramsail/core/outcome/CrashId.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/CrashId.java
@@ -3,9 +3,9 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * Names one crash, the same on all daemons.
+ * Identifies one crash, equally on all daemons.
  *
- * @param upstream which crashed
- * @param incarnation the run of it that crashed
+ * @param upstream the upstream that crashed
+ * @param incarnation its incarnation that crashed
  */
 record CrashId(UpstreamName upstream, long incarnation) {}
--- a/core/src/main/java/org/marjoramsail/core/outcome/CrashRecords.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/CrashRecords.java
@@ -12,13 +12,13 @@
 import java.util.Set;
 
 /**
- * Which contents were on which crashed upstream, and what follows from it.
+ * Records which contents were on which crashed upstreams, and derives which one is the cause.
  *
  * <p>A content is refused when it was on {@link Quarantine#CRASH_LIMIT} crashed upstreams and no
- * other content was on all of these. While there are such others, any of them may be the cause: one
- * that is refused already explains the crashes, and otherwise they are tried one after another, the
- * least likely first. The one that is answered is cleared, which leaves fewer to explain the
- * crashes, so that the cause is found without a further crash.
+ * other content was on all of these. While there are others, each of them may be the cause: one
+ * that is refused already explains the crashes, and otherwise they are retried one after another,
+ * the least likely first. Each one that completes is cleared, so that the cause is found without a
+ * further crash.
  */
 final class CrashRecords {
 
@@ -40,7 +40,7 @@
     this.maximumEntries = maximumEntries;
   }
 
-  /** Handles what was on an upstream that crashed, the least likely cause first. */
+  /** Adds a crash with the contents that ran on the upstream, the least likely cause first. */
   void add(CrashId crash, Collection<Long> fingerprints, boolean lifted, long expiresAtMillis) {
     suspects.computeIfAbsent(crash, unused -> new LinkedHashSet<>()).addAll(fingerprints);
     for (long fingerprint : fingerprints) {
@@ -53,7 +53,7 @@
     }
   }
 
-  /** How many crashes are active against a content. */
+  /** Returns the number of crashes of which this content is not cleared. */
   int crashCount(long fingerprint) {
     Entry entry = entries.get(fingerprint);
     return entry == null ? 0 : entry.activeCrashes().size();
@@ -63,7 +63,7 @@
     return entries.get(fingerprint).expiresAtMillis;
   }
 
-  /** All contents that are remembered, the oldest first. */
+  /** Returns all contents that are stored, the oldest first. */
   List<Long> fingerprints() {
     return List.copyOf(entries.keySet());
   }
@@ -109,7 +109,7 @@
     return order.indexOf(other) < order.indexOf(fingerprint);
   }
 
-  /** Clears a content of all crashes; gives those that were active until now. */
+  /** Clears a content of all its crashes; returns those of which it was not cleared before. */
   List<CrashId> clear(long fingerprint) {
     Entry entry = entries.get(fingerprint);
     if (entry == null) {
--- a/core/src/main/java/org/marjoramsail/core/outcome/CrashReportMessage.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/CrashReportMessage.java
@@ -5,13 +5,13 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * Tells the other daemons that an upstream crashed, and what ran on it.
+ * Message that informs other daemons of a crash of an upstream and of the contents that ran on it.
  *
- * @param upstream which crashed
- * @param incarnation the run of it that crashed
+ * @param upstream the upstream that crashed
+ * @param incarnation its incarnation that crashed
  * @param fingerprints the contents that ran on it
- * @param lifetimeMillis how long to remember it
- * @param lifted whether an operator has cleared these contents of this crash
+ * @param lifetimeMillis time for which the crash is to be stored
+ * @param lifted whether these contents are cleared of this crash
  */
 public record CrashReportMessage(
     UpstreamName upstream,
@@ -21,7 +21,7 @@
     boolean lifted)
     implements PeerMessage {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the list, so that the record is immutable. */
   public CrashReportMessage {
     fingerprints = List.copyOf(fingerprints);
   }
--- a/core/src/main/java/org/marjoramsail/core/outcome/DropReason.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/DropReason.java
@@ -2,22 +2,22 @@
 
 import java.util.Locale;
 
-/** Why something that came from outside was dropped; each has its counter. */
+/** Reason for which an event or a cancel was dropped; each has a counter. */
 public enum DropReason {
-  /** A frame of another request. */
+  /** A frame belongs to another request. */
   CROSSED_FRAME,
-  /** A frame of an earlier attempt. */
+  /** A frame belongs to an earlier attempt. */
   LATE_FRAME,
-  /** A frame whose token the caller already has. */
+  /** A frame has a token that the caller was already sent. */
   REPEATED_FRAME,
-  /** An answer or failure of an earlier attempt, or in a state that does not wait for it. */
+  /** A response or failure belongs to an earlier attempt, or the state does not expect it. */
   LATE_EVENT,
-  /** A grant that came after the request was withdrawn. */
+  /** A grant came after the request was withdrawn. */
   LATE_GRANT,
-  /** A cancel that no upstream confirmed in time. */
+  /** No upstream confirmed a cancel before its deadline. */
   ABANDONED_CANCEL;
 
-  /** The reason in lower case with hyphens, as counters see it. */
+  /** Returns the reason in lower case with hyphens, as counters show it. */
   public String code() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/core/src/main/java/org/marjoramsail/core/outcome/FinalResponse.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/FinalResponse.java
@@ -6,10 +6,10 @@
 import org.marjoramsail.core.failure.RunState;
 
 /**
- * What ends a request towards its caller, if the caller is still there.
+ * Final response of a request, if its caller is still connected.
  *
- * <p>An upstream's own answer that it had failed is kept while another upstream is tried. When no
- * better one comes it is sent to the caller in place of a refusal, which would say less.
+ * <p>An upstream's own failure response is kept while another upstream is tried. If none succeeds,
+ * the caller receives it in place of a refusal, which would have less detail.
  */
 final class FinalResponse {
 
@@ -25,24 +25,27 @@
     return callerDisconnected;
   }
 
-  /** Whether an end was sent already. */
+  /** Returns whether the final response was already sent. */
   boolean isSent() {
     return sent;
   }
 
-  /** Marks that an end is sent; true for the first. */
+  /** Marks the final response as sent; returns true for the first call. */
   boolean markSent() {
     boolean first = !sent;
     sent = true;
     return first;
   }
 
-  /** Keeps the answer of an attempt that its upstream says has failed. */
+  /** Keeps the failure response that an upstream sent for an attempt. */
   void keepFailureResponse(int attempt) {
     failedAttempt = OptionalInt.of(attempt);
   }
 
-  /** What the caller gets in place of a whole answer; nothing when it has left. */
+  /**
+   * Returns the end of a request without a successful response; empty when the caller has
+   * disconnected.
+   */
   Optional<LifecycleAction> unsuccessfulEnd(Refusal refusal, RunState runState) {
     if (callerDisconnected) {
       return Optional.empty();
--- a/core/src/main/java/org/marjoramsail/core/outcome/Invariants.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/Invariants.java
@@ -6,24 +6,27 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.marjoramsail.core.model.RequestId;
 
-/** Checks invariants at run time: throws in tests and the demo, counts in production. */
+/**
+ * Checks invariants at run time: throws in tests and in the demo, counts violations in production.
+ */
 public final class Invariants {
 
-  /** What a violation does. */
+  /** Effect of a violation. */
   public enum Mode {
     /** Throws, so that a test or the demo fails. */
     THROW,
-    /** Counts, so that a caller is still served. */
+    /** Counts, so that the caller is still served. */
     COUNT
   }
 
   private final Mode mode;
   private final Map<Invariant, AtomicLong> violations = new EnumMap<>(Invariant.class);
 
-  /** Creates an instance with what a violation does. */
+  /** Creates an instance with the effect of a violation. */
   public Invariants(Mode mode) {
     this.mode = mode;
-    Arrays.stream(Invariant.values()).forEach(one -> violations.put(one, new AtomicLong()));
+    Arrays.stream(Invariant.values())
+        .forEach(invariant -> violations.put(invariant, new AtomicLong()));
   }
 
   /**
@@ -43,7 +46,7 @@
     return false;
   }
 
-  /** How often an invariant did not hold. */
+  /** Returns the number of violations of an invariant. */
   public long violations(Invariant invariant) {
     return violations.get(invariant).get();
   }
--- a/core/src/main/java/org/marjoramsail/core/outcome/KvTransferState.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/KvTransferState.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.marjoramsail.core.model.UpstreamName;
 
-/** The KV cache of one request between its prefill and its import by a decode upstream. */
+/** State of one request's KV cache between its prefill and its import by a decode upstream. */
 final class KvTransferState {
 
   private final LifecyclePolicy policy;
@@ -24,7 +24,9 @@
     source = Optional.of(newSource);
   }
 
-  /** The KV cache, when enough of its life remains for another decode upstream to fetch it. */
+  /**
+   * Returns the KV cache if it remains valid long enough for another decode upstream to fetch it.
+   */
   Optional<KvSource> usable(long nowMillis) {
     return source.filter(
         current -> nowMillis + policy.kvMarginMillis() < current.expiresAtMillis());
@@ -37,7 +39,9 @@
         .isPresent();
   }
 
-  /** The decode upstream has imported it, or says that it is gone: its holder has nothing. */
+  /**
+   * Releases the KV cache, after a decode upstream has imported it or reported that it has expired.
+   */
   void release() {
     source.ifPresent(current -> outstanding.release(current.attempt(), current.holder()));
     source = Optional.empty();
@@ -53,7 +57,10 @@
     source = source.filter(current -> !current.holder().equals(holder));
   }
 
-  /** Has its holder drop it, since another prefill takes its place. */
+  /**
+   * Returns the cancels that make the prefill upstream discard the KV cache, as another replaces
+   * it.
+   */
   List<LifecycleAction> cancel(long nowMillis) {
     List<LifecycleAction> cancels =
         source
--- a/core/src/main/java/org/marjoramsail/core/outcome/LifecycleAction.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/LifecycleAction.java
@@ -8,55 +8,55 @@
 import org.marjoramsail.core.placement.AttemptReport;
 import org.marjoramsail.core.placement.PlacementRequest;
 
-/** What the shell has to do for a request, in the given order. */
+/** Action that the I/O layer has to perform for a request. */
 public sealed interface LifecycleAction {
 
-  /** Records the claim; answered by a claim event. */
+  /** Records the claim; a claim event reports the result. */
   record RecordClaim() implements LifecycleAction {}
 
   /**
    * Records how a claimed request ended.
    *
-   * @param outcome how
+   * @param outcome the outcome
    */
   record SettleClaim(ClaimOutcome outcome) implements LifecycleAction {}
 
   /**
-   * Asks placement for upstreams.
+   * Requests upstreams from placement.
    *
-   * @param request what is asked
+   * @param request the placement request
    */
   record Place(PlacementRequest request) implements LifecycleAction {}
 
   /**
-   * Gives up an attempt that waits for placement.
+   * Withdraws an attempt that waits for placement.
    *
-   * @param request whose
+   * @param request the request
    */
   record Withdraw(RequestId request) implements LifecycleAction {}
 
   /**
-   * Tells placement how far an attempt is.
+   * Reports the progress or the end of an attempt to placement.
    *
-   * @param report what is told
+   * @param report the report
    */
   record Report(AttemptReport report) implements LifecycleAction {}
 
   /**
    * Sends the prompt to a prefill upstream.
    *
-   * @param attempt which attempt
-   * @param upstream where to
+   * @param attempt number of the attempt
+   * @param upstream the prefill upstream
    */
   record SendPrefill(int attempt, UpstreamName upstream) implements LifecycleAction {}
 
   /**
    * Sends the request to a decode upstream.
    *
-   * @param attempt which attempt
-   * @param upstream where to
-   * @param startIndex index of the first token that is wanted
-   * @param kv where the KV cache is; the upstream reads the prompt itself when absent
+   * @param attempt number of the attempt
+   * @param upstream the decode upstream
+   * @param startIndex index of the first token that is required
+   * @param kv the KV cache; where it is absent the upstream prefills the prompt itself
    */
   record SendDecode(int attempt, UpstreamName upstream, int startIndex, Optional<KvSource> kv)
       implements LifecycleAction {}
@@ -64,66 +64,66 @@
   /**
    * Sends the request to a plain service.
    *
-   * @param attempt which attempt
-   * @param upstream where to
+   * @param attempt number of the attempt
+   * @param upstream the upstream
    */
   record SendPlain(int attempt, UpstreamName upstream) implements LifecycleAction {}
 
   /**
    * Closes this daemon's connection for an attempt, if any.
    *
-   * @param attempt which attempt
+   * @param attempt number of the attempt
    */
   record CloseAttempt(int attempt) implements LifecycleAction {}
 
   /**
-   * Tells an upstream to drop what it holds of an attempt; answered by an event when confirmed.
+   * Makes an upstream release the resources of an attempt; an event reports the confirmation.
    *
-   * @param attempt which attempt
-   * @param upstream where
+   * @param attempt number of the attempt
+   * @param upstream the upstream
    */
   record Cancel(int attempt, UpstreamName upstream) implements LifecycleAction {}
 
   /**
-   * Gives the caller its next token.
+   * Sends the next token to the caller.
    *
-   * @param index its index
-   * @param text its text
+   * @param index index of the token
+   * @param text text of the token
    */
   record EmitToken(int index, String text) implements LifecycleAction {}
 
   /**
-   * Ends the answer, whole.
+   * Ends the output successfully.
    *
-   * @param completion its figures
+   * @param completion token counts and finish reason
    */
   record Complete(Completion completion) implements LifecycleAction {}
 
   /**
-   * Gives the caller the answer of a plain service.
+   * Sends the kept response of an upstream to the caller.
    *
-   * @param attempt the attempt that got it
+   * @param attempt the attempt that received it
    */
   record DeliverResponse(int attempt) implements LifecycleAction {}
 
   /**
-   * Ends without the whole answer.
+   * Ends the request with a refusal.
    *
-   * @param refusal why and what is known
+   * @param refusal reason and run state
    */
   record Refuse(Refusal refusal) implements LifecycleAction {}
 
   /**
    * Counts a retry.
    *
-   * @param reason why
+   * @param reason reason of the retry
    */
   record CountRetry(RetryReason reason) implements LifecycleAction {}
 
   /**
-   * Counts something that was dropped.
+   * Counts a dropped event or cancel.
    *
-   * @param reason why
+   * @param reason reason of the drop
    */
   record CountDrop(DropReason reason) implements LifecycleAction {}
 }
--- a/core/src/main/java/org/marjoramsail/core/outcome/LifecycleDispatch.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/LifecycleDispatch.java
@@ -1,6 +1,6 @@
 package org.marjoramsail.core.outcome;
 
-/** Brings each kind of event to what the lifecycle does with it. */
+/** Passes each kind of event to its method of the lifecycle. */
 final class LifecycleDispatch {
 
   private LifecycleDispatch() {}
--- a/core/src/main/java/org/marjoramsail/core/outcome/LifecycleEvent.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/LifecycleEvent.java
@@ -5,46 +5,46 @@
 import org.marjoramsail.core.model.UpstreamName;
 import org.marjoramsail.core.placement.Grant;
 
-/** What happens to a request. */
+/** Event of a request that its {@link RequestLifecycle} handles. */
 public sealed interface LifecycleEvent {
 
-  /** The request is registered. */
+  /** The request was registered. */
   record Started() implements LifecycleEvent {}
 
-  /** Its claim is recorded, so that it may be sent. */
+  /** The claim of the request was recorded, so that the request may be sent. */
   record ClaimRecorded() implements LifecycleEvent {}
 
   /**
-   * Its claim was not recorded, or another request has it.
+   * The claim was not recorded, or another request holds it.
    *
-   * @param refusal what the caller is told
+   * @param refusal refusal for the caller
    */
   record ClaimRefused(Refusal refusal) implements LifecycleEvent {}
 
   /**
-   * Upstreams are reserved.
+   * Placement reserved upstreams for an attempt.
    *
-   * @param grant which
+   * @param grant the reserved upstreams
    */
   record Granted(Grant grant) implements LifecycleEvent {}
 
   /**
-   * An attempt gets no upstreams.
+   * Placement refused an attempt.
    *
-   * @param attempt which
-   * @param refusal why
+   * @param attempt number of the attempt
+   * @param refusal reason of the refusal
    */
   record PlacementRefused(int attempt, Refusal refusal) implements LifecycleEvent {}
 
   /**
-   * A prefill upstream has read the prompt.
+   * A prefill upstream has computed the KV cache of the prompt.
    *
-   * @param attempt which attempt
-   * @param handle name of the KV cache
+   * @param attempt number of the attempt
+   * @param handle KV handle on the prefill upstream
    * @param promptTokens length of the prompt
-   * @param cachedTokens how much of it was cached
-   * @param tookMillis how long it took
-   * @param lifetimeMillis how long the KV cache lives from now
+   * @param cachedTokens number of prompt tokens that were cached
+   * @param tookMillis duration of the prefill
+   * @param lifetimeMillis time from now until the KV cache expires
    */
   record Prefilled(
       int attempt,
@@ -56,12 +56,12 @@
       implements LifecycleEvent {}
 
   /**
-   * A token arrived.
+   * A token arrived from a decode upstream.
    *
-   * @param request whose it is, as the frame says
-   * @param attempt which attempt, as the frame says
-   * @param index its index in the answer
-   * @param text its text
+   * @param request request named in the frame
+   * @param attempt attempt named in the frame
+   * @param index index of the token in the output
+   * @param text text of the token
    */
   record TokenArrived(RequestId request, int attempt, int index, String text)
       implements LifecycleEvent {}
@@ -69,12 +69,12 @@
   /**
    * The last frame of a stream arrived.
    *
-   * @param request whose it is, as the frame says
-   * @param attempt which attempt, as the frame says
-   * @param index how many tokens the answer has
-   * @param finishReason why the engine stopped
+   * @param request request named in the frame
+   * @param attempt attempt named in the frame
+   * @param index number of tokens in the output
+   * @param finishReason reason for which the engine stopped
    * @param promptTokens length of the prompt
-   * @param cachedTokens how much of it was cached
+   * @param cachedTokens number of prompt tokens that were cached
    */
   record StreamFinished(
       RequestId request,
@@ -86,25 +86,25 @@
       implements LifecycleEvent {}
 
   /**
-   * A plain service answered in full; the shell keeps the answer.
+   * A plain service responded completely; the I/O layer keeps the response.
    *
-   * @param attempt which attempt
+   * @param attempt number of the attempt
    */
   record PlainResponseReceived(int attempt) implements LifecycleEvent {}
 
   /**
-   * An upstream answered whole and said that it had failed; the shell keeps the answer.
+   * An upstream sent a complete response that reports a failure; the I/O layer keeps the response.
    *
-   * @param attempt which attempt
+   * @param attempt number of the attempt
    */
   record FailureResponseReceived(int attempt) implements LifecycleEvent {}
 
   /**
    * A call to an upstream failed.
    *
-   * @param attempt which attempt
-   * @param upstream which upstream
-   * @param failure how
+   * @param attempt number of the attempt
+   * @param upstream the upstream
+   * @param failure kind of the failure
    */
   record UpstreamFailed(int attempt, UpstreamName upstream, UpstreamFailure failure)
       implements LifecycleEvent {}
@@ -113,27 +113,27 @@
   record CallerDisconnected() implements LifecycleEvent {}
 
   /**
-   * The caller is ended by this daemon, for instance since it reads too slowly.
+   * This daemon ends the request, for instance since the caller reads its response too slowly.
    *
-   * @param refusal why; its run state is replaced by what is known
+   * @param refusal reason; its run state is replaced by that of the lifecycle
    */
   record CallerEnded(Refusal refusal) implements LifecycleEvent {}
 
   /**
-   * An upstream confirmed that it holds nothing of an attempt.
+   * An upstream confirmed that it holds no resources for an attempt.
    *
-   * @param attempt which attempt
-   * @param upstream which upstream
+   * @param attempt number of the attempt
+   * @param upstream the upstream
    */
   record CancelConfirmed(int attempt, UpstreamName upstream) implements LifecycleEvent {}
 
   /**
-   * An upstream has started anew or is gone from the configuration, so it holds nothing.
+   * An upstream has restarted or was removed from the configuration, so it holds no resources.
    *
-   * @param upstream which
+   * @param upstream the upstream
    */
   record UpstreamRestarted(UpstreamName upstream) implements LifecycleEvent {}
 
-  /** Time has passed. */
+  /** The time of {@link RequestLifecycle#nextWakeMillis} has been reached. */
   record TimePassed() implements LifecycleEvent {}
 }
--- a/core/src/main/java/org/marjoramsail/core/outcome/LifecyclePolicy.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/LifecyclePolicy.java
@@ -1,21 +1,23 @@
 package org.marjoramsail.core.outcome;
 
 /**
- * Bounds of one request's tries and waits.
+ * Limits on the attempts and waiting times of one request.
  *
- * @param maximumAttempts how many attempts one request makes at most
- * @param backOffMillis the longest wait before the first retry; doubles with each
- * @param backOffLimitMillis the longest wait before any retry
- * @param cancelRepeatMillis wait before an unconfirmed cancel is repeated; doubles with each
- * @param cancelRepeatLimitMillis the longest such wait
- * @param cancelGiveUpMillis after how long an unconfirmed cancel is given up and counted
- * @param kvMarginMillis how much of a KV cache's life must remain for it to be worth placing again
- * @param prefillStallMillis how long beyond four times its estimate a prefill may stay silent
- * @param tokenStallMillis how long a stream may stay silent
- * @param maximumSends how many upstreams one request is sent to at most, prefills left out
- * @param responseStallMillis how long a plain answer to a request that may be repeated may take
- *     before another upstream is tried
- * @param callerPatienceMillis how long a caller waits without a sign before it leaves
+ * @param maximumAttempts maximum number of attempts
+ * @param backOffMillis longest wait before the first retry; doubles with each retry
+ * @param backOffLimitMillis longest wait before any retry
+ * @param cancelRepeatMillis wait before an unconfirmed cancel is repeated; doubles with each repeat
+ * @param cancelRepeatLimitMillis longest wait before any repeated cancel
+ * @param cancelGiveUpMillis time after which an unconfirmed cancel is abandoned and counted
+ * @param kvMarginMillis remaining lifetime that a KV cache needs to be used by another attempt
+ * @param prefillStallMillis time without progress of a prefill, beyond four times its estimate,
+ *     after which it counts as stalled
+ * @param tokenStallMillis time without progress of a stream after which it counts as stalled
+ * @param maximumSends maximum number of upstreams that one request is sent to, not counting
+ *     prefills
+ * @param responseStallMillis time to wait for a plain response before another upstream is tried, if
+ *     the request may be repeated
+ * @param callerPatienceMillis time without progress after which a caller disconnects
  */
 public record LifecyclePolicy(
     int maximumAttempts,
@@ -33,7 +35,7 @@
 
   private static final long UNLIMITED_MILLIS = Long.MAX_VALUE / 4;
 
-  /** Bounds of requests that may be sent often and whose callers wait for as long as it takes. */
+  /** Creates limits without a bound on sends, plain responses or the patience of callers. */
   public LifecyclePolicy(
       int maximumAttempts,
       long backOffMillis,
@@ -59,7 +61,7 @@
         UNLIMITED_MILLIS);
   }
 
-  /** The bounds that daemons use where their settings say nothing else. */
+  /** Returns the limits that daemons use unless their settings differ. */
   public static LifecyclePolicy defaults() {
     return new LifecyclePolicy(6, 40, 1_000, 100, 2_000, 600_000, 150, 5_000, 5_000);
   }
--- a/core/src/main/java/org/marjoramsail/core/outcome/LifecycleState.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/LifecycleState.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Where a request is. */
+/** State of a request. */
 public enum LifecycleState {
   RECEIVED,
   CLAIMING,
@@ -13,12 +13,12 @@
   BACKING_OFF,
   ENDED;
 
-  /** Whether an upstream works on it. */
+  /** Returns whether an upstream works on the request. */
   public boolean isRunning() {
     return this == PREFILLING || this == GENERATING || this == PLAIN_RUNNING;
   }
 
-  /** The state in lower case with hyphens, as operators see it. */
+  /** Returns the state in lower case with hyphens, as operators see it. */
   public String code() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/core/src/main/java/org/marjoramsail/core/outcome/OutstandingAttempts.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/OutstandingAttempts.java
@@ -8,10 +8,10 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * What upstreams may still hold of each request, and the cancels that are under way.
+ * Attempts of one request for which upstreams may still hold resources, with the cancels in flight.
  *
- * <p>Guards against the failure in which a cancel is lost and an engine keeps memory for a caller
- * who is removed: each cancel is repeated until the upstream confirms it or has started anew.
+ * <p>Guards against a lost cancel after which an engine keeps memory for a caller that has
+ * disconnected: each cancel is repeated until the upstream confirms it or has restarted.
  */
 final class OutstandingAttempts {
 
@@ -38,10 +38,10 @@
   private final List<OutstandingAttempt> outstanding = new ArrayList<>(2);
 
   /**
-   * Starts empty.
+   * Creates an empty list.
    *
-   * @param policy how often cancels are repeated
-   * @param releaseListener hears each attempt and upstream that holds nothing any more
+   * @param policy intervals between repeated cancels
+   * @param releaseListener called for each attempt and upstream that holds no resources any more
    */
   OutstandingAttempts(LifecyclePolicy policy, BiConsumer<Integer, UpstreamName> releaseListener) {
     this.policy = policy;
@@ -74,7 +74,7 @@
     return outstanding.isEmpty();
   }
 
-  /** Starts to cancel each attempt, unless the upstream is known to hold nothing of it. */
+  /** Starts to cancel one attempt, unless the upstream holds no resources for it. */
   List<LifecycleAction> cancel(int attempt, UpstreamName upstream, long nowMillis) {
     List<LifecycleAction> actions = new ArrayList<>(1);
     outstanding.stream()
@@ -83,7 +83,7 @@
     return actions;
   }
 
-  /** Starts to cancel everything that is outstanding. */
+  /** Starts to cancel all outstanding attempts. */
   List<LifecycleAction> cancelAll(long nowMillis) {
     List<LifecycleAction> actions = new ArrayList<>(outstanding.size());
     outstanding.stream()
@@ -92,7 +92,7 @@
     return actions;
   }
 
-  /** Repeats the cancels that are due, and gives up those that are too old. */
+  /** Repeats the cancels that are due, and abandons those that are too old. */
   List<LifecycleAction> repeatCancels(long nowMillis) {
     List<LifecycleAction> actions = new ArrayList<>();
     for (OutstandingAttempt each : List.copyOf(outstanding)) {
@@ -111,7 +111,7 @@
     return actions;
   }
 
-  /** When the next cancel is due. */
+  /** Returns when the next cancel is due. */
   Optional<Long> nextRepeatAtMillis() {
     return outstanding.stream()
         .filter(each -> each.cancelling)
--- a/core/src/main/java/org/marjoramsail/core/outcome/PlacementRequestBuilder.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/PlacementRequestBuilder.java
@@ -6,13 +6,14 @@
 import org.marjoramsail.core.placement.PlacementRequest;
 
 /**
- * What one attempt asks of placement.
+ * Builds the placement request of one attempt.
  *
  * @param profile the request
- * @param attempt which attempt
- * @param generatedTokens what the caller has already; it is read again and not generated again
- * @param usefulUntilMillis until when a place is of use, on the clock of this daemon
- * @param kv a KV cache that still lives
+ * @param attempt number of the attempt
+ * @param generatedTokens number of tokens that the caller was already sent; they are prefilled
+ *     again
+ * @param usefulUntilMillis time until which a grant is useful, on the clock of this daemon
+ * @param kv a KV cache that is still usable
  */
 record PlacementRequestBuilder(
     RequestProfile profile,
@@ -21,10 +22,10 @@
     long usefulUntilMillis,
     Optional<KvSource> kv) {
 
-  /** The attempt that is counted against the limits of its organisation; repeats are free. */
+  /** Only this attempt counts towards the limit of the organisation; retries do not. */
   private static final int FIRST_ATTEMPT = 1;
 
-  /** The request with times that hold on any clock, as seen at one moment. */
+  /** Returns the request with times relative to now, so that they hold on any clock. */
   PlacementRequest build(long nowMillis, List<UpstreamName> avoid, boolean alone) {
     return new PlacementRequest(
         profile.id(),
--- a/core/src/main/java/org/marjoramsail/core/outcome/Quarantine.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/Quarantine.java
@@ -11,44 +11,44 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * Finds the contents that crash upstreams, by what ran on each upstream that crashed.
+ * Finds the contents that crash upstreams, from what ran on each upstream that crashed.
  *
- * <p>Guards against the failure in which one request kills each upstream that runs it while its
- * caller, or this program's own retries, send it again: it shows as connections cut on one upstream
- * after another. All that was on a crashed upstream is suspect, also an attempt that was given up
- * and whose cancel is not confirmed. The rule:
+ * <p>Guards against a request that crashes every upstream that runs it while its caller, or this
+ * program's own retries, send it again. Every attempt on a crashed upstream makes its content a
+ * suspect, including attempts whose cancel is not confirmed. The rules:
  *
  * <ol>
- *   <li>A suspect is tried apart: on no upstream that may still hold another suspect.
+ *   <li>A suspect runs only on upstreams that cannot hold another suspect.
  *   <li>A content is refused when it was on two crashed upstreams and no other content was on all
- *       of them: then it alone explains them.
- *   <li>Where several explain the same crashes, they are tried one after another: first those that
- *       showed life on the upstream that crashed, then those that were there longest. One that is
- *       answered is cleared, and the last one left alone is refused without a further crash.
- *   <li>A content whose crashes are explained by a refused one is tried at once.
+ *       of them.
+ *   <li>Where several contents were on the same crashed upstreams, they are retried one after
+ *       another: first those that gave output on the upstream that crashed, then those that started
+ *       first. A content whose request completes is cleared; the last one left is refused without a
+ *       further crash.
+ *   <li>A content whose crashes are explained by a refused one is retried at once.
  * </ol>
  *
- * <p>So an innocent content is never refused for what another did on the same upstream, be it that
- * the two were put together or that an upstream still held an attempt of it that had been cut. A
- * cut alone proves no crash: it counts only once the upstream has a new incarnation or refuses
- * connections. Several that were cut at once without a proof in time are kept apart until the
- * upstream is heard of again, which proves or disproves the crash.
+ * <p>So a content is never refused because of another one on the same upstream. A cut, a connection
+ * that broke, alone does not prove a crash: it counts only once the upstream has a new incarnation
+ * or refuses connections. Contents that lost their connections at the same time are kept apart
+ * until the next report of the upstream's incarnation proves or disproves the crash.
  *
  * <p>Safe for several threads.
  */
 public final class Quarantine {
 
-  /** How many crashes of one content lead to its refusal. */
+  /** Number of crashes after which a content is refused. */
   public static final int CRASH_LIMIT = 2;
 
+  /** Number of requests that are cut at once for which a crash is presumed without a proof. */
   private static final int CUT_REQUESTS_OF_PRESUMED_CRASH = 2;
 
-  /** A list says that late at most that an upstream has started again, in milliseconds. */
+  /** Longest delay, in milliseconds, with which the list of upstreams shows a restart. */
   private static final long LATE_RESTART_MILLIS = 15_000;
 
   private record AttemptKey(RequestId request, int attempt) {}
 
-  /** One attempt on an upstream. */
+  /** An attempt on an upstream. */
   private static final class RunningAttempt {
     private final long fingerprint;
     private final long sequence;
@@ -83,11 +83,11 @@
     }
 
     /**
-     * Records that an answer came after the cuts, so that no crash explains them.
+     * Records that a response disproved a crash after the cuts.
      *
-     * <p>Guards against an upstream that crashed and was back under its name before the list said
-     * so: its first answers look like those of the earlier life, and the content that crashed it
-     * would be forgotten. When the new life shows, what was cut last is suspect after all.
+     * <p>Guards against an upstream that crashed and restarted under its name before the list
+     * showed it: its first responses seem to come from the earlier incarnation. When the new
+     * incarnation shows, the attempts that were cut last become suspect again.
      */
     private void dismissCuts() {
       if (!cut.isEmpty()) {
@@ -125,11 +125,11 @@
   private long sequence;
 
   /**
-   * Starts without suspects.
+   * Creates a quarantine without suspects.
    *
-   * @param lifetimeMillis how long a crash is remembered
-   * @param settleMillis how long a cut may wait for a proof
-   * @param maximumEntries how many contents are remembered; the oldest is forgotten first
+   * @param lifetimeMillis time for which a crash is stored
+   * @param settleMillis time for which a cut waits for a proof of a crash
+   * @param maximumEntries maximum number of contents; the oldest is removed first
    */
   public Quarantine(long lifetimeMillis, long settleMillis, int maximumEntries) {
     this.lifetimeMillis = lifetimeMillis;
@@ -144,7 +144,7 @@
     upstream(upstream).running.put(new AttemptKey(request, attempt), run);
   }
 
-  /** Records that an attempt has given tokens, so that running it did not crash its upstream. */
+  /** Records that an attempt gave output, so that its start did not crash the upstream. */
   public synchronized void outputReceived(UpstreamName upstream, RequestId request, int attempt) {
     RunningAttempt run = upstream(upstream).running.get(new AttemptKey(request, attempt));
     if (run != null) {
@@ -152,7 +152,7 @@
     }
   }
 
-  /** Records that an attempt left an upstream without a sign of a crash. */
+  /** Records that an attempt ended on an upstream without an indication of a crash. */
   public synchronized void released(UpstreamName upstream, RequestId request, int attempt) {
     upstream(upstream).running.remove(new AttemptKey(request, attempt));
   }
@@ -174,7 +174,9 @@
     state.cut.put(key, run);
   }
 
-  /** Records that a content was answered in full, which clears it unless it is quarantined. */
+  /**
+   * Records that a request with this content completed, which clears it unless it is quarantined.
+   */
   public synchronized void completed(long fingerprint, long nowMillis) {
     if (records.suspicion(fingerprint) != Suspicion.QUARANTINED) {
       upstreams.values().forEach(one -> one.forget(fingerprint));
@@ -183,15 +185,15 @@
   }
 
   /**
-   * Handles the incarnation that an upstream has; a new one proves a restart, the old one disproves
-   * a crash before that moment.
+   * Handles the incarnation of an upstream; a newer one proves a restart, the same one disproves a
+   * crash before that moment.
    *
-   * @param name which upstream
-   * @param incarnation what it said
-   * @param asOfMillis the moment at which that was surely so, on the clock of this daemon; an
-   *     answer that was under way during a cut proves nothing
-   * @param nowMillis the time
-   * @return whether the upstream has started anew since it was last heard of
+   * @param name the upstream
+   * @param incarnation incarnation that it reported
+   * @param asOfMillis moment at which the report was certainly valid, on the clock of this daemon;
+   *     a response that was in flight during a cut proves nothing
+   * @param nowMillis the current time
+   * @return whether the upstream has restarted since its last report
    */
   public synchronized boolean incarnation(
       UpstreamName name, long incarnation, long asOfMillis, long nowMillis) {
@@ -206,7 +208,7 @@
     return restarted;
   }
 
-  /** Records that an upstream refuses connections; after a cut that proves a crash. */
+  /** Records that an upstream refuses connections, which proves a crash after a cut. */
   public synchronized void connectionsRefused(UpstreamName name, long nowMillis) {
     Upstream state = upstream(name);
     if (state.isUnsettled()) {
@@ -214,7 +216,7 @@
     }
   }
 
-  /** The upstreams on which something was cut and nothing proves or disproves a crash yet. */
+  /** Returns the upstreams with cut attempts whose crash is neither proven nor disproved. */
   public synchronized List<UpstreamName> unsettledUpstreams() {
     return upstreams.entrySet().stream()
         .filter(entry -> entry.getValue().isUnsettled())
@@ -222,7 +224,7 @@
         .toList();
   }
 
-  /** What is to be done with a content now. */
+  /** Returns how requests with this content are to be handled now. */
   public synchronized Suspicion suspicion(long fingerprint, long nowMillis) {
     settleAndExpire(nowMillis);
     Suspicion proven = records.suspicion(fingerprint);
@@ -238,7 +240,7 @@
     return mustWait ? Suspicion.UNSETTLED : Suspicion.SUSPECT;
   }
 
-  /** The upstreams that may hold a suspect other than this content. */
+  /** Returns the upstreams that may hold a suspect other than this content. */
   public synchronized List<UpstreamName> upstreamsWithOtherSuspects(long fingerprint) {
     return upstreams.entrySet().stream()
         .filter(
@@ -254,21 +256,21 @@
         .toList();
   }
 
-  /** Handles what another daemon says of a crash. */
+  /** Handles the report of a crash from another daemon. */
   public synchronized void handle(CrashReportMessage message, long nowMillis) {
     CrashId crash = new CrashId(message.upstream(), message.incarnation());
     long expiresAtMillis = nowMillis + Math.min(lifetimeMillis, message.lifetimeMillis());
     records.add(crash, message.fingerprints(), message.lifted(), expiresAtMillis);
   }
 
-  /** Removes and returns the messages that the other daemons should get; each is given once. */
+  /** Removes and returns the messages for the other daemons; each is returned once. */
   public synchronized List<CrashReportMessage> takeMessages() {
     List<CrashReportMessage> messages = List.copyOf(outgoing);
     outgoing.clear();
     return messages;
   }
 
-  /** The contents that are suspect or refused. */
+  /** Returns the contents that are suspect or refused. */
   public synchronized List<QuarantineEntry> list(long nowMillis) {
     settleAndExpire(nowMillis);
     List<QuarantineEntry> result = new ArrayList<>();
@@ -287,7 +289,7 @@
   }
 
   /**
-   * Clears a content, here and by message everywhere.
+   * Clears a content here and, by message, on all other daemons.
    *
    * @return whether there was anything to clear
    */
--- a/core/src/main/java/org/marjoramsail/core/outcome/QuarantineEntry.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/QuarantineEntry.java
@@ -1,12 +1,12 @@
 package org.marjoramsail.core.outcome;
 
 /**
- * One content that the quarantine remembers, for operators.
+ * A content in the quarantine, as operators see it.
  *
- * @param fingerprint names the content
- * @param suspicion what follows from it
- * @param crashes how many crashes are counted against it
- * @param expiresInMillis when it is forgotten
+ * @param fingerprint fingerprint of the content
+ * @param suspicion how requests with the content are handled
+ * @param crashes number of crashes of which the content is not cleared
+ * @param expiresInMillis time until the entry expires
  */
 public record QuarantineEntry(
     long fingerprint, Suspicion suspicion, int crashes, long expiresInMillis) {}
--- a/core/src/main/java/org/marjoramsail/core/outcome/QuarantineGuard.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/QuarantineGuard.java
@@ -8,7 +8,7 @@
 import org.marjoramsail.core.model.UpstreamName;
 import org.marjoramsail.core.placement.Grant;
 
-/** What one request and the quarantine tell each other: where it runs, and whether it may. */
+/** Connects one request to the quarantine: reports where it runs and checks whether it may run. */
 final class QuarantineGuard {
 
   private final RequestProfile profile;
@@ -29,7 +29,7 @@
     this.outstanding = outstanding;
   }
 
-  /** The upstream that works on the current attempt. */
+  /** Returns the upstream that works on the current attempt. */
   Optional<UpstreamName> runningOn() {
     return runningOn;
   }
@@ -47,8 +47,8 @@
   }
 
   /**
-   * A suspect is not sent again while an attempt that was grant up may still arrive and crash its
-   * upstream, or one content could crash three: two by late attempts, one by the retry.
+   * Returns whether a suspect waits for cancels: an attempt that was cancelled may still arrive and
+   * crash its upstream, so that a retry would add a further crash.
    */
   boolean isWaitingForCancels(Suspicion suspicion, long nowMillis) {
     if (suspicion != Suspicion.SUSPECT || outstanding.nextRepeatAtMillis().isEmpty()) {
@@ -59,29 +59,31 @@
     return nowMillis < cancelWaitUntilMillis;
   }
 
-  /** What a caller is told whose content is not run any more. */
+  /** Returns the refusal text for a caller whose content is quarantined. */
   String refusalDetail() {
     return "Content "
         + Long.toHexString(profile.fingerprint())
         + " has crashed upstreams and is not run until an operator lifts it or it expires.";
   }
 
-  /** The upstreams that placement has to avoid for a suspect, besides those that failed. */
+  /**
+   * Returns the upstreams that placement has to avoid for a suspect, including those that failed.
+   */
   List<UpstreamName> upstreamsToAvoid(Collection<UpstreamName> failed) {
     Set<UpstreamName> avoided = new LinkedHashSet<>(failed);
     avoided.addAll(quarantine.upstreamsWithOtherSuspects(profile.fingerprint()));
     return List.copyOf(avoided);
   }
 
-  /** Whether upstreams are upstreamsToAvoid that will hold no other suspect after a while. */
+  /** Returns whether some upstreams are avoided only because they hold other suspects now. */
   boolean isAvoidingSuspects(Collection<UpstreamName> failed, long nowMillis) {
     return suspicion(nowMillis) == Suspicion.SUSPECT
         && upstreamsToAvoid(failed).size() > Set.copyOf(failed).size();
   }
 
   /**
-   * Whether a grant would put it beside another suspect. Guards against the failure in which two
-   * requests were placed side by side before they became suspect together.
+   * Returns whether a grant has an upstream that may hold another suspect. Guards against two
+   * requests that were placed on one upstream before both became suspect.
    */
   boolean wouldShareUpstreamWithSuspect(Grant grant, long nowMillis) {
     if (suspicion(nowMillis) != Suspicion.SUSPECT) {
@@ -109,8 +111,8 @@
   }
 
   /**
-   * Forgets where the attempt runs. The quarantine keeps it until the upstream holds nothing of it:
-   * an attempt that was grant up may still crash the upstream before its cancel arrives.
+   * Ends the work on the current attempt. The quarantine keeps the attempt until the upstream holds
+   * no resources for it: until its cancel arrives it may still crash the upstream.
    */
   void stopRunning(int attempt) {
     runningOn
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestLifecycle.java
@@ -186,7 +186,7 @@
   }
 
   private PlacementRequest placementRequest(boolean isolated) {
-    // A grant is useless after the deadline, or once the caller has newGrant up waiting.
+    // A grant is useless after the deadline, or once the caller has given up waiting.
     long usefulUntilMillis =
         Math.min(
             profile.deadlineAtMillis(),
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestProfile.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestProfile.java
@@ -8,26 +8,26 @@
 import org.marjoramsail.core.model.StreamChunking;
 
 /**
- * What a lifecycle has to know of its request; the content itself stays in the shell.
+ * Properties of a request that its lifecycle needs; the I/O layer keeps the content itself.
  *
- * @param id names the request
+ * @param id identifier of the request
  * @param entry this daemon
- * @param service the service asked for
- * @param organisation whose request it is
- * @param rule the name of the rule that matched
- * @param serviceClass its urgency
+ * @param service the requested service
+ * @param organisation organisation of the caller
+ * @param rule name of the rule that matched
+ * @param serviceClass urgency
  * @param repeatability whether it may run more than once
- * @param generation whether engines generate its answer; a plain service answers otherwise
+ * @param generation whether engines generate output, as opposed to a plain service
  * @param claimed whether a claim has to be recorded before the send
  * @param promptTokens length of the prompt; zero for plain services
- * @param outputTokens how many tokens at most it generates; zero for plain services
+ * @param outputTokens maximum number of tokens in the output; zero for plain services
  * @param prefixHashes chained hashes of some of the prompt's blocks, see SampledPrefixHashes
- * @param fingerprint hash of its content, see {@link Fingerprint}
- * @param receivedAtMillis when it arrived, on the clock of this daemon
- * @param firstTokenAtMillis when its first token is late, on the clock of this daemon
- * @param deadlineAtMillis when its answer is useless, on the clock of this daemon
+ * @param fingerprint hash of the content, see {@link Fingerprint}
+ * @param receivedAtMillis time of arrival, on the clock of this daemon
+ * @param firstTokenAtMillis latest time for its first token, on the clock of this daemon
+ * @param deadlineAtMillis deadline of the request, on the clock of this daemon
  * @param chunking how its output is split into chunks
- * @param countedTokens what it counts for against its organisation's limit in tokens
+ * @param countedTokens tokens that count towards the limit of its organisation
  */
 public record RequestProfile(
     RequestId id,
@@ -49,12 +49,12 @@
     StreamChunking chunking,
     int countedTokens) {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the list, so that the record is immutable. */
   public RequestProfile {
     prefixHashes = List.copyOf(prefixHashes);
   }
 
-  /** A request whose answer comes token by token. */
+  /** Creates the profile of a request whose output is sent token by token. */
   public RequestProfile(
       RequestId id,
       DaemonId entry,
--- a/core/src/main/java/org/marjoramsail/core/outcome/RequestProgress.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RequestProgress.java
@@ -1,6 +1,8 @@
 package org.marjoramsail.core.outcome;
 
-/** When a request last gave its caller a sign, how long it paused, and when it is silent. */
+/**
+ * Tracks when a request last made progress, its inter-chunk gaps and when its attempt has stalled.
+ */
 final class RequestProgress {
 
   private static final long NONE = Long.MIN_VALUE;
@@ -16,19 +18,19 @@
   /**
    * Starts with the arrival of the request.
    *
-   * @param receivedAtMillis when that was
+   * @param receivedAtMillis time of the arrival
    */
   RequestProgress(long receivedAtMillis) {
     this.lastProgressMillis = receivedAtMillis;
   }
 
-  /** Records that another attempt begins to give pieces. */
+  /** Records that another attempt starts to send output. */
   void attemptStarted() {
     lastChunkMillis = NONE;
     longestGapMillis = 0;
   }
 
-  /** Records that the caller was given a piece. */
+  /** Records that a chunk was sent to the caller. */
   void chunkSent(long nowMillis) {
     if (lastChunkMillis != NONE) {
       longestGapMillis = Math.max(longestGapMillis, nowMillis - lastChunkMillis);
@@ -37,43 +39,43 @@
     lastProgressMillis = nowMillis;
   }
 
-  /** The longest pause between two pieces of this attempt; zero before the second. */
+  /** Returns the longest gap between two chunks of this attempt; zero before the second chunk. */
   long longestGapMillis() {
     return longestGapMillis;
   }
 
-  /** Until when a caller waits that leaves after so long without a sign. */
+  /** Returns until when a caller waits that disconnects after this time without progress. */
   long callerWaitsUntilMillis(long patienceMillis) {
     return lastProgressMillis + patienceMillis;
   }
 
-  /** The attempt is silent unless it gives a sign until then. */
+  /** Sets the time at which the attempt counts as stalled unless it makes progress before. */
   void expectProgressUntil(long atMillis) {
     stallAtMillis = atMillis;
   }
 
-  /** Silence has no consequence from now on. */
+  /** Lets the attempt wait without a limit. */
   void stopExpectingProgress() {
     stallAtMillis = NEVER;
   }
 
-  /** When the attempt is silent. */
+  /** Returns the time at which the attempt counts as stalled. */
   long stallAtMillis() {
     return stallAtMillis;
   }
 
-  /** Records that a plain request is sent. */
+  /** Records that a plain request was sent. */
   void requestSent(long nowMillis) {
     sentAtMillis = nowMillis;
     responseMillis = 0;
   }
 
-  /** Records that a plain request is answered. */
+  /** Records that the response to a plain request was received. */
   void responseReceived(long nowMillis) {
     responseMillis = nowMillis - sentAtMillis;
   }
 
-  /** How long the answer to a plain request took; zero if there is none. */
+  /** Returns how long the response to a plain request took; zero if there is none. */
   long responseMillis() {
     return responseMillis;
   }
--- a/core/src/main/java/org/marjoramsail/core/outcome/RetryBudget.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/RetryBudget.java
@@ -1,27 +1,30 @@
 package org.marjoramsail.core.outcome;
 
 /**
- * Limits the retries of one service to a share of its first sends.
+ * Limits the retries of one service to a share of its requests.
  *
- * <p>Guards against the failure in which an outage makes every request come several times, so that
- * upstreams that come back are pushed over again: each first send earns a tenth of a retry, so that
- * retries beyond the fixed reserve never exceed a tenth of the load. Safe for several threads.
+ * <p>Guards against overload from retries: in an outage every request would be sent several times,
+ * and upstreams that recover would fail again. Each first send adds a tenth of a retry, up to a
+ * fixed reserve. Safe for several threads.
  */
 public final class RetryBudget {
 
-  /** The share of first sends that may be repeated. */
+  /** Retries that each first send adds. */
   public static final double SHARE = 0.1;
 
   /**
-   * The part of a shared slack that daemons hand out between them: windows of those who count are
-   * not those of daemons, and requests that a daemon forwards are counted where they arrive.
+   * Part of a fleet's slack that its daemons use; the rest covers differences in how and where
+   * requests are counted.
    */
   private static final double USABLE_SLACK_SHARE = 0.5;
 
-  /** The part of an allowed ratio that is used, for what is counted otherwise. */
+  /**
+   * Part of the allowed ratio that is used; the rest covers differences in how requests are
+   * counted.
+   */
   private static final double USABLE_RATIO_SHARE = 0.8;
 
-  /** At least so many daemons share the slack, also while fewer are known. */
+  /** Smallest number of daemons by which the slack is divided, in case only few are found yet. */
   private static final int MINIMUM_DAEMONS = 6;
 
   private final double share;
@@ -29,23 +32,24 @@
   private double tokens;
 
   /**
-   * Starts full.
+   * Creates a budget with a full reserve.
    *
-   * @param reserve how many retries may be saved up; enough for those that one upstream holds
+   * @param reserve maximum number of retries that are saved up; enough for those of one upstream's
+   *     attempts
    */
   public RetryBudget(int reserve) {
     this(SHARE, reserve, reserve);
   }
 
   /**
-   * Starts with less than a full reserve.
+   * Creates a budget with an initial number of retries.
    *
-   * <p>Guards against the failure in which a daemon that was restarted forgets what it had spent,
-   * so that restarts in series hand out the reserve of a whole fleet several times over.
+   * <p>Guards against restarts that renew the whole reserve of each daemon, so that a fleet exceeds
+   * its retries.
    *
-   * @param share how much of a retry each first send earns
-   * @param reserve how many retries may be saved up
-   * @param initial how many there are at the start
+   * @param share retries that each first send adds
+   * @param reserve maximum number of retries that are saved up
+   * @param initial number of retries at the start
    */
   public RetryBudget(double share, double reserve, double initial) {
     this.share = share;
@@ -54,23 +58,23 @@
   }
 
   /**
-   * The part of a fleet's retries that one daemon may use without asking any other.
+   * Returns one daemon's share of a fleet's retries, for use without coordination.
    *
-   * @param ratio how many retries the fleet may make for each request
-   * @param slack how many it may make beside these
-   * @param daemons how many daemons there are
+   * @param ratio retries that the fleet may make for each request
+   * @param slack retries that the fleet may make in addition
+   * @param daemons number of daemons
    */
   public static RetryBudget shareOfFleet(double ratio, double slack, int daemons) {
     double reserve = slack * USABLE_SLACK_SHARE / Math.max(MINIMUM_DAEMONS, daemons);
     return new RetryBudget(ratio * USABLE_RATIO_SHARE, reserve, reserve / 2);
   }
 
-  /** Earns for a first send. */
+  /** Records a first send, which adds to the budget. */
   public synchronized void earn() {
     tokens = Math.min(reserve, tokens + share);
   }
 
-  /** Spends one retry, if there is one. */
+  /** Uses one retry if one is available. */
   public synchronized boolean trySpend() {
     if (tokens < 1) {
       return false;
@@ -79,7 +83,7 @@
     return true;
   }
 
-  /** How many retries may be made now. */
+  /** Returns the number of retries that are available. */
   public synchronized int available() {
     return (int) tokens;
   }
--- a/core/src/main/java/org/marjoramsail/core/outcome/Suspicion.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/Suspicion.java
@@ -1,13 +1,16 @@
 package org.marjoramsail.core.outcome;
 
-/** What the quarantine says of a content. */
+/** Handling of a content by the quarantine. */
 public enum Suspicion {
-  /** No crash is known. */
+  /** No crash is recorded. */
   CLEAR,
-  /** It ran on an upstream that crashed, as did others; it is tried apart from other suspects. */
+  /**
+   * The content ran on an upstream that crashed, as others did; it runs only apart from other
+   * suspects.
+   */
   SUSPECT,
-  /** Its second crash is not proven, or another content is tried first; it waits. */
+  /** The second crash is not proven, or another content is retried first; the content waits. */
   UNSETTLED,
-  /** It was on two crashed upstreams, and no other content explains both. */
+  /** The content was on two crashed upstreams, and no other content explains both crashes. */
   QUARANTINED
 }
--- a/core/src/main/java/org/marjoramsail/core/outcome/package-info.java
+++ b/core/src/main/java/org/marjoramsail/core/outcome/package-info.java
@@ -1,5 +1,4 @@
 /**
- * What becomes of one request, whatever fails: one state machine for each, the budget for retries
- * and the quarantine for content that crashes upstreams.
+ * State machine of a request, its retry budget and the quarantine of contents that crash upstreams.
  */
 package org.marjoramsail.core.outcome;
--- a/core/src/test/java/org/marjoramsail/core/outcome/FuzzedRequest.java
+++ b/core/src/test/java/org/marjoramsail/core/outcome/FuzzedRequest.java
@@ -13,13 +13,13 @@
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.placement.AttemptPhase;
 
-/** One request of the fuzzed world, with what its caller saw and how often it truly ran. */
+/** A request of the simulation, with what its caller received and how often it actually ran. */
 final class FuzzedRequest {
 
   final RequestLifecycle lifecycle;
   final boolean poisonous;
   final List<String> text = new ArrayList<>();
-  final List<LifecycleAction> ends = new ArrayList<>();
+  final List<LifecycleAction> finalResponses = new ArrayList<>();
   final Map<Integer, Integer> endReports = new HashMap<>();
   final List<Integer> granted = new ArrayList<>();
   Optional<FuzzedUpstream> reservedAlone = Optional.empty();
@@ -36,27 +36,29 @@
     return lifecycle.profile().id();
   }
 
-  String truth(int index) {
+  String expectedToken(int index) {
     return lifecycle.profile().fingerprint() + "/" + index;
   }
 
-  /** Checks what the caller and placement are told, at the moment that they are told. */
+  /** Checks each message to the caller or to placement when it is sent. */
   void observe(LifecycleAction action) {
     if (action instanceof LifecycleAction.EmitToken token) {
-      assertThat(ends).as("no token after the end").isEmpty();
+      assertThat(finalResponses).as("no token after the final response").isEmpty();
       assertThat(token.index()).as("tokens in order").isEqualTo(text.size());
-      assertThat(token.text()).as("the caller's own token").isEqualTo(truth(token.index()));
+      assertThat(token.text())
+          .as("a token of this request")
+          .isEqualTo(expectedToken(token.index()));
       text.add(token.text());
     } else if (action instanceof LifecycleAction.Complete) {
-      ends.add(action);
-      assertThat(text).as("the whole answer").hasSize(lifecycle.profile().outputTokens());
+      finalResponses.add(action);
+      assertThat(text).as("the complete output").hasSize(lifecycle.profile().outputTokens());
     } else if (action instanceof LifecycleAction.DeliverResponse) {
-      ends.add(action);
-      assertThat(runs).as("an answer comes from a run").isPositive();
+      finalResponses.add(action);
+      assertThat(runs).as("a response requires a run").isPositive();
     } else if (action instanceof LifecycleAction.Refuse refuse) {
-      ends.add(action);
+      finalResponses.add(action);
       if (refuse.refusal().runState() == RunState.NOT_RUN) {
-        assertThat(runs).as("runs of a request that is called not run").isZero();
+        assertThat(runs).as("runs of a request that is reported as not run").isZero();
       }
     } else if (action instanceof LifecycleAction.Report report
         && report.report().phase() == AttemptPhase.ENDED) {
@@ -65,13 +67,13 @@
     }
   }
 
-  /** Whether it has an upstream for itself, as a suspect. */
+  /** Returns whether the upstream is reserved for this request alone, as a suspect. */
   boolean isReservedAlone(FuzzedUpstream upstream) {
     return lifecycle.state() != LifecycleState.ENDED && reservedAlone.equals(Optional.of(upstream));
   }
 
-  /** Counts a true run of it. */
-  void ran() {
+  /** Counts an actual run of the request. */
+  void recordRun() {
     runs++;
     if (!lifecycle.profile().repeatability().isResendable()) {
       assertThat(runs).as("runs of a request that may run once").isEqualTo(1);
@@ -79,17 +81,19 @@
   }
 
   boolean isQuarantined() {
-    return ends.stream()
+    return finalResponses.stream()
         .anyMatch(
             end ->
                 end instanceof LifecycleAction.Refuse refuse
                     && refuse.refusal().reason() == RefusalReason.QUARANTINED);
   }
 
-  /** Checks it once nothing is under way. */
-  void checkAtTheEnd() {
+  /** Checks the request once nothing is in flight. */
+  void checkWhenSettled() {
     assertThat(lifecycle.isSettled()).as("settled: " + lifecycle.state()).isTrue();
-    assertThat(ends).as("one end").hasSizeBetween(callerDisconnected ? 0 : 1, 1);
+    assertThat(finalResponses)
+        .as("one final response")
+        .hasSizeBetween(callerDisconnected ? 0 : 1, 1);
     assertThat(endReports.keySet())
         .as("ended attempts")
         .containsExactlyInAnyOrderElementsOf(granted);
--- a/core/src/test/java/org/marjoramsail/core/outcome/FuzzedUpstream.java
+++ b/core/src/test/java/org/marjoramsail/core/outcome/FuzzedUpstream.java
@@ -8,12 +8,12 @@
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.model.UpstreamName;
 
-/** The truth about one upstream of the fuzzed world: what it holds and what it was told to drop. */
+/** An upstream of the simulation, with the attempts that it holds and those that were cancelled. */
 final class FuzzedUpstream {
 
   record Key(RequestId request, int attempt) {}
 
-  /** One attempt that the upstream works on or whose KV cache it keeps. */
+  /** An attempt that the upstream runs or whose KV cache it keeps. */
   static final class Work {
     final FuzzedRequest request;
     final int attempt;
@@ -28,9 +28,9 @@
       this.nextIndex = nextIndex;
     }
 
-    /** Starts the life of its KV cache; an answer that the network repeats prolongs nothing. */
-    void firstAnswered(long endsAtMillis) {
-      expiresAtMillis = Math.min(expiresAtMillis, endsAtMillis);
+    /** Sets when the KV cache expires; a repeated response does not extend it. */
+    void setExpiry(long atMillis) {
+      expiresAtMillis = Math.min(expiresAtMillis, atMillis);
     }
   }
 
@@ -43,7 +43,7 @@
     this.name = new UpstreamName(name);
   }
 
-  /** Whether an attempt that arrives now is taken. */
+  /** Returns whether an attempt that arrives now is accepted. */
   boolean accepts(RequestId request, int attempt) {
     return !cancelled.contains(new Key(request, attempt));
   }
--- a/core/src/test/java/org/marjoramsail/core/outcome/FuzzedWorld.java
+++ b/core/src/test/java/org/marjoramsail/core/outcome/FuzzedWorld.java
@@ -20,10 +20,10 @@
 import org.marjoramsail.core.placement.PlacementRequest;
 
 /**
- * Upstreams, a network and callers around real lifecycles and a real quarantine.
+ * Simulation of upstreams, a network and callers around actual lifecycles and an actual quarantine.
  *
- * <p>Every message is under way until a step delivers, repeats or loses it. The upstreams keep the
- * truth that lifecycles cannot see: what ran, and what is held.
+ * <p>Each message is in flight until a step delivers, repeats or loses it. The upstreams record
+ * what actually ran and what is actually held, which the lifecycles cannot observe.
  */
 final class FuzzedWorld {
 
@@ -34,7 +34,7 @@
   private static final long POISON = 666;
   private static final List<Repeatability> REPEATABILITIES = List.of(Repeatability.values());
 
-  /** Something under way: a call and its upstream, or what comes back. */
+  /** A message in flight: a call with its upstream, or a response. */
   private record Message(FuzzedRequest request, Optional<Call> call, Runnable arrive) {}
 
   private record Call(FuzzedUpstream upstream, int attempt, boolean cancel) {}
@@ -64,7 +64,7 @@
     return Stream.of(prefills, decodes, plains).flatMap(List::stream);
   }
 
-  /** Does one step; {@code detail} chooses among its ways. */
+  /** Performs one step; {@code detail} chooses among its variants. */
   void step(int kind, int detail) {
     switch (kind) {
       case 0, 1, 2, 3 -> deliver(0);
@@ -73,7 +73,7 @@
       case 8 -> repeat(detail);
       case 9 -> lose(detail);
       case 10 -> refuseOrLose(detail);
-      case 11 -> crashByChance(detail);
+      case 11 -> crashRandomly(detail);
       case 12 -> advance(detail % 50);
       case 13 -> advance(detail % 20_000);
       case 14 -> callerDisconnected(detail);
@@ -81,9 +81,9 @@
     }
   }
 
-  /** Lets everything end without further faults, and checks it. */
+  /** Lets everything end without further faults, and checks the result. */
   void finish() {
-    for (int round = 0; round < 5_000 && !isQuiet(); round++) {
+    for (int round = 0; round < 5_000 && !isIdle(); round++) {
       while (!network.isEmpty()) {
         deliver(0);
       }
@@ -94,7 +94,7 @@
         advance(100);
       }
     }
-    requests.forEach(FuzzedRequest::checkAtTheEnd);
+    requests.forEach(FuzzedRequest::checkWhenSettled);
     upstreams()
         .forEach(upstream -> assertThat(upstream.held).as("held on " + upstream.name).isEmpty());
     assertThat(poisonCrashes).as("upstreams crashed by one content").isLessThanOrEqualTo(2);
@@ -103,13 +103,14 @@
     }
   }
 
-  private boolean isQuiet() {
+  private boolean isIdle() {
     return network.isEmpty()
         && requests.stream().allMatch(request -> request.lifecycle.isSettled());
   }
 
   private void submit(int detail) {
-    boolean poisonRuns = requests.stream().anyMatch(one -> one.poisonous && one.ends.isEmpty());
+    boolean poisonRuns =
+        requests.stream().anyMatch(one -> one.poisonous && one.finalResponses.isEmpty());
     if (requests.size() >= MAXIMUM_REQUESTS) {
       return;
     }
@@ -141,7 +142,7 @@
                 profile, policy, budget, quarantine, invariants, new SplittableRandom(detail)),
             poisonous);
     requests.add(request);
-    tell(request, new LifecycleEvent.Started());
+    handle(request, new LifecycleEvent.Started());
   }
 
   private void deliver(int detail) {
@@ -150,12 +151,12 @@
     }
   }
 
-  /** Only what comes back can come twice; a call is one connection. */
+  /** Delivers a response twice; calls are not repeated, since each is one connection. */
   private void repeat(int detail) {
     pick(network, message -> message.call().isEmpty(), detail).ifPresent(one -> one.arrive().run());
   }
 
-  /** A call fails to connect, is cut before it arrives, or a cancel is lost. */
+  /** Loses a cancel, or lets a call fail to connect or be cut before it arrives. */
   private void lose(int detail) {
     pick(network, message -> message.call().isPresent(), detail)
         .ifPresent(
@@ -171,7 +172,7 @@
             });
   }
 
-  /** A call is refused, or an attempt under way is cut while the upstream goes on. */
+  /** Refuses a call, or cuts a running attempt while the upstream continues. */
   private void refuseOrLose(int detail) {
     Optional<Message> sent =
         pick(network, one -> one.call().filter(call -> !call.cancel()).isPresent(), detail);
@@ -194,17 +195,21 @@
   }
 
   private void fail(FuzzedRequest request, Call call, UpstreamFailure failure) {
-    tell(request, new LifecycleEvent.UpstreamFailed(call.attempt(), call.upstream().name, failure));
+    handle(
+        request, new LifecycleEvent.UpstreamFailed(call.attempt(), call.upstream().name, failure));
   }
 
-  private void crashByChance(int detail) {
+  private void crashRandomly(int detail) {
     if (randomCrashes) {
       List<FuzzedUpstream> all = upstreams().toList();
       crash(all.get(detail % all.size()), detail);
     }
   }
 
-  /** Everything on it is lost; connections are cut, and a poll finds the new incarnation. */
+  /**
+   * Crashes an upstream: all its state is lost, its connections are cut, and a poll finds the new
+   * incarnation.
+   */
   private void crash(FuzzedUpstream upstream, int detail) {
     quarantine.incarnation(upstream.name, upstream.incarnation, 0, nowMillis);
     List<FuzzedUpstream.Work> lost = List.copyOf(upstream.held.values());
@@ -228,7 +233,7 @@
   private void poll(FuzzedUpstream upstream) {
     if (quarantine.incarnation(upstream.name, upstream.incarnation, nowMillis, nowMillis)) {
       List.copyOf(requests)
-          .forEach(one -> tell(one, new LifecycleEvent.UpstreamRestarted(upstream.name)));
+          .forEach(one -> handle(one, new LifecycleEvent.UpstreamRestarted(upstream.name)));
     }
   }
 
@@ -237,16 +242,16 @@
     upstreams().forEach(upstream -> upstream.expire(nowMillis));
     for (FuzzedRequest request : List.copyOf(requests)) {
       if (request.lifecycle.nextWakeMillis().filter(due -> due <= nowMillis).isPresent()) {
-        tell(request, new LifecycleEvent.TimePassed());
+        handle(request, new LifecycleEvent.TimePassed());
       }
     }
   }
 
   private void callerDisconnected(int detail) {
     FuzzedRequest request = requests.get(detail % requests.size());
-    if (request.ends.isEmpty()) {
+    if (request.finalResponses.isEmpty()) {
       request.callerDisconnected = true;
-      tell(request, new LifecycleEvent.CallerDisconnected());
+      handle(request, new LifecycleEvent.CallerDisconnected());
     }
   }
 
@@ -255,7 +260,7 @@
     pick(List.copyOf(upstream.held.values()), work -> true, detail / 8).ifPresent(this::work);
   }
 
-  /** An engine makes one token, or the end after the last. */
+  /** Lets an engine generate one token, or the end after the last one. */
   private void work(FuzzedUpstream.Work work) {
     if (work.kv) {
       return;
@@ -265,8 +270,9 @@
     work.nextIndex++;
     if (index < TOKENS) {
       LifecycleEvent token =
-          new LifecycleEvent.TokenArrived(request.id(), work.attempt, index, request.truth(index));
-      send(request, () -> everybodyHears(request, token));
+          new LifecycleEvent.TokenArrived(
+              request.id(), work.attempt, index, request.expectedToken(index));
+      send(request, () -> handleInAll(request, token));
     } else {
       decodes.forEach(
           upstream ->
@@ -276,17 +282,17 @@
                   .ifPresent(found -> upstream.drop(request.id(), work.attempt)));
       LifecycleEvent end =
           new LifecycleEvent.StreamFinished(request.id(), work.attempt, TOKENS, "stop", 8, 0);
-      send(request, () -> tell(request, end));
+      send(request, () -> handle(request, end));
     }
   }
 
-  /** A frame also comes, crossed, to the others, who must drop it. */
-  private void everybodyHears(FuzzedRequest owner, LifecycleEvent token) {
-    List.copyOf(requests).stream().filter(one -> one != owner).forEach(one -> tell(one, token));
-    tell(owner, token);
+  /** Delivers a frame to all requests; those that it does not belong to must drop it. */
+  private void handleInAll(FuzzedRequest owner, LifecycleEvent token) {
+    List.copyOf(requests).stream().filter(one -> one != owner).forEach(one -> handle(one, token));
+    handle(owner, token);
   }
 
-  private void tell(FuzzedRequest request, LifecycleEvent event) {
+  private void handle(FuzzedRequest request, LifecycleEvent event) {
     for (LifecycleAction action : request.lifecycle.handle(event, nowMillis)) {
       request.observe(action);
       act(request, action);
@@ -299,7 +305,7 @@
     } else if (action instanceof LifecycleAction.Withdraw) {
       request.waitingAttempt = 0;
     } else if (action instanceof LifecycleAction.RecordClaim) {
-      send(request, () -> tell(request, new LifecycleEvent.ClaimRecorded()));
+      send(request, () -> handle(request, new LifecycleEvent.ClaimRecorded()));
     } else if (action instanceof LifecycleAction.SendPrefill send) {
       FuzzedUpstream upstream = find(send.upstream());
       call(request, upstream, send.attempt(), () -> prefill(request, upstream, send.attempt()));
@@ -337,9 +343,11 @@
         !wanted.isGeneration()
             ? GrantMode.PLAIN
             : turn % 3 == 0 ? GrantMode.LOCAL_PREFILL : GrantMode.DISAGGREGATED;
-    List<FuzzedUpstream> among = mode == GrantMode.PLAIN ? plains : decodes;
+    List<FuzzedUpstream> candidates = mode == GrantMode.PLAIN ? plains : decodes;
     Optional<FuzzedUpstream> target =
-        wanted.alone() ? apart(request, wanted, among) : Optional.of(among.get(turn % 4));
+        wanted.alone()
+            ? isolatedTarget(request, wanted, candidates)
+            : Optional.of(candidates.get(turn % 4));
     if (target.isEmpty()) {
       refusePlacement(request, wanted, RefusalReason.NO_UPSTREAM);
       return;
@@ -362,11 +370,15 @@
     send(request, () -> placed(request, wanted.attempt(), refused, false));
   }
 
-  /** As placement does: a suspect shares no upstream with another, and gets none to be avoided. */
-  private Optional<FuzzedUpstream> apart(
-      FuzzedRequest request, PlacementRequest wanted, List<FuzzedUpstream> among) {
-    return IntStream.range(0, among.size())
-        .mapToObj(offset -> among.get((requests.indexOf(request) + offset) % among.size()))
+  /**
+   * Places a suspect as placement does: on an upstream that is neither to be avoided nor reserved
+   * for another suspect.
+   */
+  private Optional<FuzzedUpstream> isolatedTarget(
+      FuzzedRequest request, PlacementRequest wanted, List<FuzzedUpstream> candidates) {
+    return IntStream.range(0, candidates.size())
+        .mapToObj(
+            offset -> candidates.get((requests.indexOf(request) + offset) % candidates.size()))
         .filter(upstream -> !wanted.avoid().contains(upstream.name))
         .filter(
             upstream ->
@@ -381,7 +393,7 @@
         request.granted.add(attempt);
       }
     }
-    tell(request, event);
+    handle(request, event);
   }
 
   private void prefill(FuzzedRequest request, FuzzedUpstream upstream, int attempt) {
@@ -391,8 +403,8 @@
     send(
         request,
         () -> {
-          work.firstAnswered(nowMillis + KV_LIFETIME_MILLIS);
-          tell(request, done);
+          work.setExpiry(nowMillis + KV_LIFETIME_MILLIS);
+          handle(request, done);
         });
   }
 
@@ -407,23 +419,23 @@
       }
       holder.drop(request.id(), kv.attempt());
     }
-    request.ran();
+    request.recordRun();
     upstream.hold(new FuzzedUpstream.Work(request, send.attempt(), false, send.startIndex()));
-    crashWhenPoisoned(request, upstream);
+    crashIfPoisonous(request, upstream);
   }
 
   private void plain(FuzzedRequest request, FuzzedUpstream upstream, int attempt) {
-    request.ran();
+    request.recordRun();
     if (request.poisonous) {
       upstream.hold(new FuzzedUpstream.Work(request, attempt, true, 0));
-      crashWhenPoisoned(request, upstream);
+      crashIfPoisonous(request, upstream);
       return;
     }
-    LifecycleEvent answered = new LifecycleEvent.PlainResponseReceived(attempt);
-    send(request, () -> tell(request, answered));
+    LifecycleEvent response = new LifecycleEvent.PlainResponseReceived(attempt);
+    send(request, () -> handle(request, response));
   }
 
-  private void crashWhenPoisoned(FuzzedRequest request, FuzzedUpstream upstream) {
+  private void crashIfPoisonous(FuzzedRequest request, FuzzedUpstream upstream) {
     if (request.poisonous) {
       poisonCrashes++;
       crash(upstream, poisonCrashes);
@@ -432,7 +444,8 @@
 
   private void cancel(FuzzedRequest request, FuzzedUpstream upstream, int attempt) {
     upstream.cancel(request.id(), attempt);
-    send(request, () -> tell(request, new LifecycleEvent.CancelConfirmed(attempt, upstream.name)));
+    send(
+        request, () -> handle(request, new LifecycleEvent.CancelConfirmed(attempt, upstream.name)));
   }
 
   /** Sends a call; an attempt that was cancelled before it arrives is refused. */
@@ -458,7 +471,9 @@
   }
 
   private static <T> Optional<T> pick(List<T> from, Predicate<T> wanted, int detail) {
-    List<T> fitting = from.stream().filter(wanted).toList();
-    return fitting.isEmpty() ? Optional.empty() : Optional.of(fitting.get(detail % fitting.size()));
+    List<T> matching = from.stream().filter(wanted).toList();
+    return matching.isEmpty()
+        ? Optional.empty()
+        : Optional.of(matching.get(detail % matching.size()));
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/outcome/KeyedRefusalTest.java
+++ b/core/src/test/java/org/marjoramsail/core/outcome/KeyedRefusalTest.java
@@ -15,39 +15,39 @@
 
   private static final long DEADLINE_MILLIS = 10_000;
 
-  // A neighbour is told that her ballot was not run, though it counts. In order: her first try
-  // runs, its answer is lost with the daemon, she sends again with her key, the store is slow and
-  // the deadline passes before the claim could be read. Cause: "this request was not sent" was
-  // taken for "not run".
+  /**
+   * Guards against a retry with the same key that is reported as not run although an earlier
+   * request with that key ran. Without a recorded claim the run state is unknown.
+   */
   @Test
-  void aKeyedRequestThatEndsBeforeItsClaimIsRecordedIsNotCalledNotRun() {
-    RequestLifecycle ballot = lifecycle(true);
-    ballot.handle(new LifecycleEvent.Started(), 0);
+  void aKeyedRequestThatEndsBeforeItsClaimIsRecordedIsNotReportedAsNotRun() {
+    RequestLifecycle request = lifecycle(true);
+    request.handle(new LifecycleEvent.Started(), 0);
 
-    assertThat(endOf(ballot.handle(new LifecycleEvent.TimePassed(), DEADLINE_MILLIS)))
+    assertThat(runStateOfRefusal(request.handle(new LifecycleEvent.TimePassed(), DEADLINE_MILLIS)))
         .isEqualTo(RunState.UNKNOWN);
   }
 
   @Test
-  void aKeyedRequestWhoseClaimIsRecordedAndThatWasNeverSentIsCalledNotRun() {
-    RequestLifecycle ballot = lifecycle(true);
-    ballot.handle(new LifecycleEvent.Started(), 0);
-    ballot.handle(new LifecycleEvent.ClaimRecorded(), 1);
+  void aKeyedRequestWhoseClaimIsRecordedAndThatWasNeverSentIsReportedAsNotRun() {
+    RequestLifecycle request = lifecycle(true);
+    request.handle(new LifecycleEvent.Started(), 0);
+    request.handle(new LifecycleEvent.ClaimRecorded(), 1);
 
-    assertThat(endOf(ballot.handle(new LifecycleEvent.TimePassed(), DEADLINE_MILLIS)))
+    assertThat(runStateOfRefusal(request.handle(new LifecycleEvent.TimePassed(), DEADLINE_MILLIS)))
         .isEqualTo(RunState.NOT_RUN);
   }
 
   @Test
-  void aRequestWithoutAKeyThatWasNeverSentIsCalledNotRun() {
-    RequestLifecycle ballot = lifecycle(false);
-    ballot.handle(new LifecycleEvent.Started(), 0);
+  void aRequestWithoutAKeyThatWasNeverSentIsReportedAsNotRun() {
+    RequestLifecycle request = lifecycle(false);
+    request.handle(new LifecycleEvent.Started(), 0);
 
-    assertThat(endOf(ballot.handle(new LifecycleEvent.TimePassed(), DEADLINE_MILLIS)))
+    assertThat(runStateOfRefusal(request.handle(new LifecycleEvent.TimePassed(), DEADLINE_MILLIS)))
         .isEqualTo(RunState.NOT_RUN);
   }
 
-  private static RunState endOf(List<LifecycleAction> actions) {
+  private static RunState runStateOfRefusal(List<LifecycleAction> actions) {
     return actions.stream()
         .filter(LifecycleAction.Refuse.class::isInstance)
         .map(action -> ((LifecycleAction.Refuse) action).refusal().runState())
--- a/core/src/test/java/org/marjoramsail/core/outcome/OutcomeFuzzTest.java
+++ b/core/src/test/java/org/marjoramsail/core/outcome/OutcomeFuzzTest.java
@@ -13,19 +13,17 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The number of sequences is {@code jqwik.tries.default}; a measured run sets it higher. */
+/** Runs random sequences of failures; their number is {@code jqwik.tries.default}. */
 final class OutcomeFuzzTest {
 
   private static final int MAXIMUM_CHOICE = 159_999;
 
   /**
-   * A caller is answered twice, or told "not run" of a ballot that ran: the order of failures that
-   * leads there is not known beforehand. Crashes, cuts, lost answers, late, repeated and crossed
-   * frames, gone callers and clock jumps come in any order, and an oracle that sees what truly ran
-   * and what is truly held checks every answer.
+   * Guards against a second final response and against a request that ran but is reported as not
+   * run. The simulation compares every response with what actually ran and what is actually held.
    */
   @Property(seed = "20261202")
-  void everyRequestHasOneTrueEndWhateverFails(
+  void everyRequestHasOneCorrectFinalResponseWhateverFails(
       @ForAll @Size(min = 10, max = 150) List<@IntRange(max = MAXIMUM_CHOICE) Integer> choices,
       @ForAll boolean randomCrashes) {
     run(choices, randomCrashes);
@@ -38,17 +36,16 @@
   }
 
   /**
-   * One prompt takes down three engines, or a neighbour's summary is refused since it once shared
-   * an engine with that prompt. Each sequence of the file has shown one of these; its line says
-   * which.
+   * Guards against one content that crashes three upstreams, and against the refusal of a content
+   * that only shared an upstream with it. A comment line describes each sequence.
    */
   @ParameterizedTest
   @MethodSource
-  void aSequenceThatOnceFailedHoldsNow(boolean randomCrashes, List<Integer> choices) {
+  void aRecordedFailureSequencePasses(boolean randomCrashes, List<Integer> choices) {
     run(choices, randomCrashes);
   }
 
-  static Stream<Arguments> aSequenceThatOnceFailedHoldsNow() throws IOException {
+  static Stream<Arguments> aRecordedFailureSequencePasses() throws IOException {
     try (InputStream file = OutcomeFuzzTest.class.getResourceAsStream("failed-sequences.txt")) {
       return new String(file.readAllBytes(), StandardCharsets.UTF_8)
           .lines()
--- a/core/src/test/java/org/marjoramsail/core/outcome/QuarantineTest.java
+++ b/core/src/test/java/org/marjoramsail/core/outcome/QuarantineTest.java
@@ -22,11 +22,11 @@
   private int requests;
 
   @BeforeEach
-  void learnIncarnations() {
+  void reportIncarnations() {
     List.of(FIRST, SECOND, THIRD).forEach(name -> quarantine.incarnation(name, 1, 0, 0));
   }
 
-  private RequestId runs(UpstreamName upstream, long fingerprint) {
+  private RequestId start(UpstreamName upstream, long fingerprint) {
     RequestId request = new RequestId("q" + ++requests);
     quarantine.started(upstream, request, 1, fingerprint);
     return request;
@@ -40,14 +40,14 @@
     return quarantine.suspicion(fingerprint, 10);
   }
 
-  /** A neighbour's summary is refused: it shared an engine with a prompt that crashes engines. */
+  /** Guards against the refusal of a content that only shared an upstream with the cause. */
   @Test
-  void theContentThatAloneWasOnTwoCrashedUpstreamsIsRefusedAndItsFellowIsNot() {
-    runs(FIRST, INNOCENT);
-    runs(FIRST, POISON);
+  void theOnlyContentOnTwoCrashedUpstreamsIsRefusedAndOneThatSharedAnUpstreamIsNot() {
+    start(FIRST, INNOCENT);
+    start(FIRST, POISON);
     crash(FIRST, 1);
     assertThat(List.of(suspicion(INNOCENT), suspicion(POISON))).containsOnly(Suspicion.SUSPECT);
-    runs(SECOND, POISON);
+    start(SECOND, POISON);
     crash(SECOND, 2);
 
     assertThat(suspicion(POISON)).isEqualTo(Suspicion.QUARANTINED);
@@ -55,16 +55,16 @@
   }
 
   /**
-   * The same summary is refused although it never ran beside that prompt again: an engine still
-   * held an earlier attempt of it, whose cancel had not arrived, when the prompt crashed it.
+   * Guards against the refusal of a content whose cancelled attempt was still on an upstream when
+   * another content crashed it.
    */
   @Test
-  void twoThatExplainTheSameCrashesAreTriedInTurnAndTheLastOneIsRefusedUntried() {
-    runs(SECOND, INNOCENT);
-    runs(FIRST, INNOCENT);
-    runs(FIRST, POISON);
+  void contentsOnTheSameCrashedUpstreamsAreRetriedInTurnAndTheLastIsRefusedWithoutARetry() {
+    start(SECOND, INNOCENT);
+    start(FIRST, INNOCENT);
+    start(FIRST, POISON);
     crash(FIRST, 1);
-    runs(SECOND, POISON);
+    start(SECOND, POISON);
     crash(SECOND, 2);
 
     assertThat(suspicion(INNOCENT)).isEqualTo(Suspicion.SUSPECT);
@@ -74,12 +74,12 @@
     assertThat(suspicion(INNOCENT)).isEqualTo(Suspicion.CLEAR);
   }
 
-  /** The prompt was there first, and only its fellow had given tokens before the crash. */
+  /** The content that gave output before the crash is the less likely cause. */
   @Test
-  void theOneThatShowedLifeIsTriedBeforeTheOneThatWasThereLonger() {
+  void aContentThatGaveOutputIsRetriedBeforeOneThatStartedEarlier() {
     for (UpstreamName upstream : List.of(FIRST, SECOND)) {
-      runs(upstream, POISON);
-      quarantine.outputReceived(upstream, runs(upstream, INNOCENT), 1);
+      start(upstream, POISON);
+      quarantine.outputReceived(upstream, start(upstream, INNOCENT), 1);
       crash(upstream, 1);
     }
 
@@ -89,21 +89,21 @@
 
   @Test
   void aSuspectIsKeptFromUpstreamsThatMayHoldAnotherSuspect() {
-    runs(THIRD, INNOCENT);
-    runs(FIRST, INNOCENT);
-    runs(FIRST, POISON);
+    start(THIRD, INNOCENT);
+    start(FIRST, INNOCENT);
+    start(FIRST, POISON);
     crash(FIRST, 1);
 
     assertThat(quarantine.upstreamsWithOtherSuspects(POISON)).containsExactly(THIRD);
     assertThat(quarantine.upstreamsWithOtherSuspects(INNOCENT)).isEmpty();
   }
 
-  /** The network hiccups and two connections break; both contents are taken for dangerous. */
+  /** Guards against contents that are refused because a network fault cut their connections. */
   @Test
-  void cutsWithoutAProofKeepApartAndNeverRefuse() {
+  void cutsWithoutProofOfACrashIsolateContentsAndNeverRefuseThem() {
     for (UpstreamName upstream : List.of(FIRST, SECOND)) {
-      quarantine.connectionLost(upstream, runs(upstream, INNOCENT), 1, 1);
-      quarantine.connectionLost(upstream, runs(upstream, POISON), 1, 1);
+      quarantine.connectionLost(upstream, start(upstream, INNOCENT), 1, 1);
+      quarantine.connectionLost(upstream, start(upstream, POISON), 1, 1);
     }
 
     assertThat(quarantine.suspicion(INNOCENT, 1 + SETTLE_MILLIS)).isEqualTo(Suspicion.SUSPECT);
@@ -113,11 +113,14 @@
     assertThat(quarantine.suspicion(INNOCENT, 1 + SETTLE_MILLIS)).isEqualTo(Suspicion.CLEAR);
   }
 
-  /** An operator is asked why a request is refused, lifts it, and other daemons go on refusing. */
+  /**
+   * Guards against a content that an operator has lifted on one daemon and that others still
+   * refuse.
+   */
   @Test
-  void whatIsListedCanBeLiftedHereAndByMessageEverywhere() {
+  void aListedContentCanBeLiftedHereAndByMessageOnOtherDaemons() {
     Quarantine other = new Quarantine(LIFETIME_MILLIS, SETTLE_MILLIS, 2);
-    refusePoison();
+    crashTwoUpstreamsWithPoison();
     quarantine.takeMessages().forEach(message -> other.handle(message, 5));
     assertThat(other.suspicion(POISON, 5)).isEqualTo(Suspicion.QUARANTINED);
 
@@ -130,29 +133,29 @@
     assertThat(other.suspicion(POISON, 11)).isEqualTo(Suspicion.CLEAR);
   }
 
-  private void refusePoison() {
-    runs(FIRST, POISON);
+  private void crashTwoUpstreamsWithPoison() {
+    start(FIRST, POISON);
     crash(FIRST, 1);
-    runs(SECOND, POISON);
+    start(SECOND, POISON);
     crash(SECOND, 2);
   }
 
   @Test
-  void aRefusalIsForgottenAfterItsTime() {
-    refusePoison();
+  void aRefusalExpires() {
+    crashTwoUpstreamsWithPoison();
 
     assertThat(quarantine.suspicion(POISON, 1 + LIFETIME_MILLIS)).isEqualTo(Suspicion.QUARANTINED);
     assertThat(quarantine.suspicion(POISON, 2 + LIFETIME_MILLIS)).isEqualTo(Suspicion.CLEAR);
   }
 
-  /** Thousands of contents that each met a crash fill the daemon's memory. */
+  /** Guards against unbounded memory when many contents each were on a crashed upstream. */
   @Test
-  void theOldestContentIsForgottenWhenThereAreTooMany() {
-    runs(FIRST, INNOCENT);
+  void theOldestContentIsRemovedWhenThereAreTooMany() {
+    start(FIRST, INNOCENT);
     crash(FIRST, 1);
-    runs(SECOND, 2);
+    start(SECOND, 2);
     crash(SECOND, 2);
-    runs(THIRD, 3);
+    start(THIRD, 3);
     crash(THIRD, 3);
 
     assertThat(quarantine.list(10))
@@ -161,12 +164,12 @@
   }
 
   /**
-   * A prompt crashed an engine that was back under its name in no time. Its first answer came
-   * before the list said that it had started again, and looked like one of the life before.
+   * Guards against a response of a restarted upstream that clears the content which crashed it,
+   * when the response arrives before the restart is listed.
    */
   @Test
-  void anAnswerFromTheNextLifeDoesNotClearWhatCrashedTheOneBefore() {
-    RequestId request = runs(FIRST, POISON);
+  void aResponseOfTheNextIncarnationDoesNotClearWhatCrashedTheEarlierOne() {
+    RequestId request = start(FIRST, POISON);
     quarantine.connectionLost(FIRST, request, 1, 1);
     quarantine.incarnation(FIRST, 1, 2, 3);
     assertThat(suspicion(POISON)).isEqualTo(Suspicion.CLEAR);
@@ -176,12 +179,12 @@
     assertThat(suspicion(POISON)).isEqualTo(Suspicion.SUSPECT);
   }
 
-  /** A server crashed a second time under its name; what ran on it then is suspect as well. */
+  /** Guards against a second crash of the same upstream that is not counted. */
   @Test
-  void theSecondCrashUnderOneNameCountsLikeTheFirst() {
-    runs(FIRST, POISON);
+  void theSecondCrashOfOneUpstreamCountsLikeTheFirst() {
+    start(FIRST, POISON);
     crash(FIRST, 1);
-    runs(FIRST, POISON);
+    start(FIRST, POISON);
     assertThat(quarantine.incarnation(FIRST, 3, 2, 2)).isTrue();
 
     assertThat(suspicion(POISON)).isEqualTo(Suspicion.QUARANTINED);
--- a/core/src/test/java/org/marjoramsail/core/outcome/RetryBudgetTest.java
+++ b/core/src/test/java/org/marjoramsail/core/outcome/RetryBudgetTest.java
@@ -9,12 +9,9 @@
   private static final int RESERVE = 20;
   private static final int MAXIMUM_TRIES = 6;
 
-  /**
-   * All upstreams of a service fail for minutes. Each request would come six times, and upstreams
-   * that come back are pushed over again by what the router itself has added.
-   */
+  /** Guards against retries that multiply the load while all upstreams of a service fail. */
   @Test
-  void retriesAddAtMostATenthOfTheLoadAndTheReserveInAnOutage() {
+  void retriesInAnOutageAddAtMostATenthOfTheLoadAndTheReserve() {
     RetryBudget budget = new RetryBudget(RESERVE);
     int requests = 10_000;
     int retries = 0;
@@ -28,9 +25,9 @@
     assertThat(retries).isBetween(requests / 10, requests / 10 + RESERVE);
   }
 
-  /** An upstream crashes with all that it ran; each of its requests needs a retry at once. */
+  /** When an upstream crashes, all its requests need a retry at once. */
   @Test
-  void theReserveCoversWhatOneUpstreamHoldsAndNotMore() {
+  void theReserveCoversTheRequestsOfOneUpstreamAndNotMore() {
     RetryBudget budget = new RetryBudget(RESERVE);
 
     for (int request = 0; request < RESERVE; request++) {
@@ -39,9 +36,9 @@
     assertThat(budget.trySpend()).isFalse();
   }
 
-  /** A quiet night saves up retries without a bound, and the morning's outage spends them all. */
+  /** Guards against retries that are saved up without a bound and used all at once. */
   @Test
-  void aLongCalmSavesUpNoMoreThanTheReserve() {
+  void aLongTimeWithoutRetriesSavesUpNoMoreThanTheReserve() {
     RetryBudget budget = new RetryBudget(RESERVE);
     for (int request = 0; request < 100_000; request++) {
       budget.earn();
@@ -51,8 +48,8 @@
   }
 
   /**
-   * Seven daemons were restarted in turn while a service failed. Each handed out its reserve of
-   * before and a new one after it, and the fleet made more retries than it may.
+   * Guards against restarts in sequence that renew each daemon's reserve, so that the fleet exceeds
+   * its slack.
    */
   @Test
   void aFleetThatIsRestartedInAnOutageStaysWithinItsSlack() {
@@ -60,7 +57,7 @@
     int daemons = 7;
     int retries = 0;
     for (int daemon = 0; daemon < daemons; daemon++) {
-      retries += spendAll(savedUp(RetryBudget.shareOfFleet(0.2, slack, daemons)));
+      retries += spendAll(withFullReserve(RetryBudget.shareOfFleet(0.2, slack, daemons)));
       retries += spendAll(RetryBudget.shareOfFleet(0.2, slack, daemons));
     }
 
@@ -68,11 +65,11 @@
   }
 
   @Test
-  void aDaemonThatKnowsOfNoOtherTakesNoMoreThanASixthOfHalfTheSlack() {
-    assertThat(spendAll(savedUp(RetryBudget.shareOfFleet(0.2, 54, 1)))).isEqualTo(4);
+  void aDaemonWithoutKnownPeersUsesAtMostASixthOfHalfTheSlack() {
+    assertThat(spendAll(withFullReserve(RetryBudget.shareOfFleet(0.2, 54, 1)))).isEqualTo(4);
   }
 
-  private static RetryBudget savedUp(RetryBudget budget) {
+  private static RetryBudget withFullReserve(RetryBudget budget) {
     for (int request = 0; request < 1_000; request++) {
       budget.earn();
     }
