--- a/core/src/main/java/org/marjoramsail/core/discovery/FollowPace.java
+++ b/core/src/main/java/org/marjoramsail/core/discovery/WatchSchedule.java
@@ -4,22 +4,22 @@
 
 /**
  * How often a list is asked for changes, and how long for each answer. While it answers, a question
- * waits for a change. After a failure questions ask for what there is now and are given up soon, so
- * that the first answer after an outage is not missed by one that still waits in vain: a question
- * that was to wait for seconds once kept a daemon on old routes for three seconds after the list
- * was back. They become rarer, each at a moment of its own, so that an outage ends without a flood.
- * Not safe for several threads.
+ * waits for a change. After a failure questions ask for what there is currentRetryMillis and are
+ * given up soon, so that the first answer after an outage is not missed by one that still waits in
+ * vain: a question that was to wait for seconds once kept a daemon on old routes for three seconds
+ * after the list was back. They become rarer, each at a moment of its own, so that an outage ends
+ * without a flood. Not safe for several threads.
  */
-public final class FollowPace {
+public final class WatchSchedule {
 
   private static final long FIRST_RETRY_MILLIS = 100;
   private static final long LONGEST_RETRY_MILLIS = 500;
 
   /** What an answer may take beyond the wait that was asked for, in milliseconds. */
-  private static final long FIRST_ANSWER_MILLIS = 700;
+  private static final long SHORTEST_RESPONSE_MILLIS = 700;
 
   /** A list that is slow but alive answers within this time, in milliseconds. */
-  private static final long LONGEST_ANSWER_MILLIS = 1_800;
+  private static final long LONGEST_RESPONSE_MILLIS = 1_800;
 
   /**
    * How long changes are gathered after an answer that had some, in milliseconds. Where upstreams
@@ -30,7 +30,7 @@
   private static final long GATHER_MILLIS = 350;
 
   /** What a daemon has for giving up a silent question, asking again and acting on the answer. */
-  private static final long RESERVE_MILLIS = FIRST_ANSWER_MILLIS + GATHER_MILLIS + 650;
+  private static final long REACTION_MILLIS = SHORTEST_RESPONSE_MILLIS + GATHER_MILLIS + 650;
 
   /** Below this a question is not worth its price; a fleet asks so often at most. */
   private static final long SHORTEST_WAIT_MILLIS = 1_000;
@@ -41,7 +41,7 @@
   private final long waitMillis;
   private final RandomGenerator random;
   private long retryMillis = FIRST_RETRY_MILLIS;
-  private long answerMillis = FIRST_ANSWER_MILLIS;
+  private long responseMillis = SHORTEST_RESPONSE_MILLIS;
   private boolean failing;
 
   /**
@@ -51,7 +51,7 @@
    *     connection that has gone silent stays unnoticed
    * @param random spreads the questions of a fleet
    */
-  public FollowPace(long waitMillis, RandomGenerator random) {
+  public WatchSchedule(long waitMillis, RandomGenerator random) {
     this.waitMillis = waitMillis;
     this.random = random;
   }
@@ -61,15 +61,15 @@
    * silent without a reset: what is new by the end of the recovery is known in time.
    *
    * @param recoveryMillis for how long after such a fault a daemon may be behind
-   * @param boundMillis the shortest time in which a change has to be in force after that
+   * @param changeBoundMillis the shortest time in which a change has to be in force after that
    */
-  public static long longestWaitMillis(double recoveryMillis, double boundMillis) {
-    long allowed = (long) (recoveryMillis + boundMillis) - RESERVE_MILLIS;
+  public static long longestWaitMillis(double recoveryMillis, double changeBoundMillis) {
+    long allowed = (long) (recoveryMillis + changeBoundMillis) - REACTION_MILLIS;
     return Math.max(SHORTEST_WAIT_MILLIS, Math.min(LONGEST_WAIT_MILLIS, allowed));
   }
 
   /** How long to wait before the next question after an answer with so many changes. */
-  public long pauseMillis(int changes) {
+  public long gatherMillis(int changes) {
     return changes == 0 ? 0 : GATHER_MILLIS;
   }
 
@@ -79,15 +79,15 @@
   }
 
   /** After how long a question is given up. */
-  public long giveUpMillis() {
-    return waitMillis() + answerMillis;
+  public long timeoutMillis() {
+    return waitMillis() + responseMillis;
   }
 
   /** Records that a question was answered. */
   public void succeeded() {
     failing = false;
     retryMillis = FIRST_RETRY_MILLIS;
-    answerMillis = FIRST_ANSWER_MILLIS;
+    responseMillis = SHORTEST_RESPONSE_MILLIS;
   }
 
   /**
@@ -102,16 +102,17 @@
    * @param before the revision after which changes were asked for
    * @param after the revision that the answer shows
    */
-  public boolean mustReadAgain(int changes, long before, long after) {
+  public boolean mustRelist(int changes, long before, long after) {
     return changes == 0 && after > before;
   }
 
   /** Records that a question was not answered; gives how long to wait before the next. */
   public long failed() {
     failing = true;
-    long now = retryMillis;
+    long currentRetryMillis = retryMillis;
     retryMillis = Math.min(LONGEST_RETRY_MILLIS, 2 * retryMillis);
-    answerMillis = Math.min(LONGEST_ANSWER_MILLIS, answerMillis + FIRST_ANSWER_MILLIS / 2);
-    return Math.max(1, Math.round(now * (0.5 + random.nextDouble())));
+    responseMillis =
+        Math.min(LONGEST_RESPONSE_MILLIS, responseMillis + SHORTEST_RESPONSE_MILLIS / 2);
+    return Math.max(1, Math.round(currentRetryMillis * (0.5 + random.nextDouble())));
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/discovery/FollowPaceTest.java
+++ b/core/src/test/java/org/marjoramsail/core/discovery/WatchScheduleTest.java
@@ -5,15 +5,15 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class FollowPaceTest {
+class WatchScheduleTest {
 
-  private final FollowPace pace = new FollowPace(3_000, new SplittableRandom(1));
+  private final WatchSchedule schedule = new WatchSchedule(3_000, new SplittableRandom(1));
 
   @Test
   void aQuestionWaitsForChangesWhileTheListAnswers() {
-    pace.succeeded();
-    assertThat(pace.waitMillis()).isEqualTo(3_000);
-    assertThat(pace.giveUpMillis()).isBetween(3_000L, 4_000L);
+    schedule.succeeded();
+    assertThat(schedule.waitMillis()).isEqualTo(3_000);
+    assertThat(schedule.timeoutMillis()).isBetween(3_000L, 4_000L);
   }
 
   /**
@@ -24,9 +24,9 @@
   @Test
   void questionsInAnOutageAreGivenUpSoonAndRepeatedSoon() {
     for (int failure = 0; failure < 20; failure++) {
-      assertThat(pace.failed()).isLessThanOrEqualTo(750);
-      assertThat(pace.waitMillis()).isZero();
-      assertThat(pace.giveUpMillis()).isLessThanOrEqualTo(1_800);
+      assertThat(schedule.failed()).isLessThanOrEqualTo(750);
+      assertThat(schedule.waitMillis()).isZero();
+      assertThat(schedule.timeoutMillis()).isLessThanOrEqualTo(1_800);
     }
   }
 
@@ -36,19 +36,19 @@
    */
   @Test
   void anAnswerThatPassesChangesInSilenceHasTheListReadAgain() {
-    assertThat(pace.mustReadAgain(0, 5, 7)).isTrue();
-    assertThat(pace.mustReadAgain(0, 5, 5)).isFalse();
-    assertThat(pace.mustReadAgain(1, 5, 7)).isFalse();
+    assertThat(schedule.mustRelist(0, 5, 7)).isTrue();
+    assertThat(schedule.mustRelist(0, 5, 5)).isFalse();
+    assertThat(schedule.mustRelist(1, 5, 7)).isFalse();
   }
 
   @Test
   void aSlowListIsGivenMoreTimeWithEachFailure() {
-    pace.failed();
-    long first = pace.giveUpMillis();
-    pace.failed();
-    assertThat(pace.giveUpMillis()).isGreaterThan(first);
-    pace.succeeded();
-    assertThat(pace.giveUpMillis()).isEqualTo(3_700);
+    schedule.failed();
+    long first = schedule.timeoutMillis();
+    schedule.failed();
+    assertThat(schedule.timeoutMillis()).isGreaterThan(first);
+    schedule.succeeded();
+    assertThat(schedule.timeoutMillis()).isEqualTo(3_700);
   }
 
   /**
@@ -62,11 +62,11 @@
     int questions = 0;
     while (now < 2_000) {
       questions++;
-      now += 50 + pace.pauseMillis(1);
+      now += 50 + schedule.gatherMillis(1);
     }
 
     assertThat(questions).isLessThanOrEqualTo(5);
-    assertThat(pace.pauseMillis(0)).isZero();
+    assertThat(schedule.gatherMillis(0)).isZero();
   }
 
   /**
@@ -78,15 +78,16 @@
   void aSilentQuestionIsGivenUpEarlyEnoughForTheBoundsOfThePlatform() {
     for (double recovery : new double[] {3_000, 5_000}) {
       for (double bound : new double[] {2_000, 4_000}) {
-        FollowPace bounded =
-            new FollowPace(FollowPace.longestWaitMillis(recovery, bound), new SplittableRandom(1));
-        long knownMillis = bounded.giveUpMillis() + bounded.failed() + bounded.pauseMillis(1);
+        WatchSchedule bounded =
+            new WatchSchedule(
+                WatchSchedule.longestWaitMillis(recovery, bound), new SplittableRandom(1));
+        long knownMillis = bounded.timeoutMillis() + bounded.failed() + bounded.gatherMillis(1);
 
         assertThat(knownMillis).isLessThan((long) (recovery + bound));
-        assertThat(bounded.pauseMillis(1)).isLessThan((long) (bound / 5));
+        assertThat(bounded.gatherMillis(1)).isLessThan((long) (bound / 5));
       }
     }
-    assertThat(FollowPace.longestWaitMillis(0, 0)).isEqualTo(1_000);
-    assertThat(FollowPace.longestWaitMillis(1e9, 1e9)).isEqualTo(20_000);
+    assertThat(WatchSchedule.longestWaitMillis(0, 0)).isEqualTo(1_000);
+    assertThat(WatchSchedule.longestWaitMillis(1e9, 1e9)).isEqualTo(20_000);
   }
 }
