--- a/core/src/main/java/org/marjoramsail/core/discovery/StoreEpoch.java
+++ b/core/src/main/java/org/marjoramsail/core/discovery/StoreEpoch.java
@@ -11,13 +11,13 @@
 public final class StoreEpoch {
 
   /** What an answer says by its epoch. */
-  public enum Verdict {
+  public enum Status {
     /** It is of the newest epoch, or the store tells of none. */
     CURRENT,
     /** The store has come back from a copy since the answers before. */
-    RISEN,
+    ADVANCED,
     /** It was made before the store came back, or does not say when. */
-    OVER
+    OUTDATED
   }
 
   private long newest;
@@ -35,13 +35,13 @@
    *
    * @param epoch empty where the answer names none, or nothing that is one
    */
-  public Verdict heard(OptionalLong epoch) {
+  public Status received(OptionalLong epoch) {
     if (epoch.isEmpty() || epoch.getAsLong() < newest) {
-      return newest == 0 ? Verdict.CURRENT : Verdict.OVER;
+      return newest == 0 ? Status.CURRENT : Status.OUTDATED;
     }
     boolean isFirst = newest == 0;
-    boolean isRisen = epoch.getAsLong() > newest;
+    boolean isNewer = epoch.getAsLong() > newest;
     newest = epoch.getAsLong();
-    return isRisen && !isFirst ? Verdict.RISEN : Verdict.CURRENT;
+    return isNewer && !isFirst ? Status.ADVANCED : Status.CURRENT;
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/discovery/StoreEpochTest.java
+++ b/core/src/test/java/org/marjoramsail/core/discovery/StoreEpochTest.java
@@ -4,7 +4,7 @@
 
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
-import org.marjoramsail.core.discovery.StoreEpoch.Verdict;
+import org.marjoramsail.core.discovery.StoreEpoch.Status;
 
 /** Answers of a store that may come back from a copy, as they arrive. */
 class StoreEpochTest {
@@ -13,25 +13,25 @@
 
   @Test
   void aStoreThatTellsOfNoEpochIsBelieved() {
-    assertThat(epoch.heard(OptionalLong.empty())).isEqualTo(Verdict.CURRENT);
+    assertThat(epoch.received(OptionalLong.empty())).isEqualTo(Status.CURRENT);
     assertThat(epoch.newest()).isZero();
   }
 
   @Test
   void theFirstEpochThatIsHeardOfIsNoReturn() {
-    assertThat(epoch.heard(OptionalLong.of(7))).isEqualTo(Verdict.CURRENT);
-    assertThat(epoch.heard(OptionalLong.of(7))).isEqualTo(Verdict.CURRENT);
+    assertThat(epoch.received(OptionalLong.of(7))).isEqualTo(Status.CURRENT);
+    assertThat(epoch.received(OptionalLong.of(7))).isEqualTo(Status.CURRENT);
   }
 
   /** An answer that was made before the store came back arrives after one that was made since. */
   @Test
   void anAnswerThatWasOvertakenByTheNextEpochIsOver() {
-    epoch.heard(OptionalLong.of(7));
-    assertThat(epoch.heard(OptionalLong.of(8))).isEqualTo(Verdict.RISEN);
+    epoch.received(OptionalLong.of(7));
+    assertThat(epoch.received(OptionalLong.of(8))).isEqualTo(Status.ADVANCED);
 
-    assertThat(epoch.heard(OptionalLong.of(7))).isEqualTo(Verdict.OVER);
-    assertThat(epoch.heard(OptionalLong.empty())).isEqualTo(Verdict.OVER);
-    assertThat(epoch.heard(OptionalLong.of(8))).isEqualTo(Verdict.CURRENT);
+    assertThat(epoch.received(OptionalLong.of(7))).isEqualTo(Status.OUTDATED);
+    assertThat(epoch.received(OptionalLong.empty())).isEqualTo(Status.OUTDATED);
+    assertThat(epoch.received(OptionalLong.of(8))).isEqualTo(Status.CURRENT);
     assertThat(epoch.newest()).isEqualTo(8);
   }
 }
