--- a/core/src/main/java/org/marjoramsail/core/discovery/DiscoveredUpstreams.java
+++ b/core/src/main/java/org/marjoramsail/core/discovery/DiscoveredUpstreams.java
@@ -26,28 +26,28 @@
 public final class DiscoveredUpstreams {
 
   /** How long after an outage a missing entry may still come back, in milliseconds. */
-  public static final long RETURN_MILLIS = 2_000;
+  public static final long REAPPEARANCE_MILLIS = 2_000;
 
-  private static final class Belief {
+  private static final class Entry {
     private ListedUpstream listed;
-    private Optional<Long> lapsesAtMillis = Optional.empty();
+    private Optional<Long> expiresAtMillis = Optional.empty();
 
-    private Belief(ListedUpstream listed) {
+    private Entry(ListedUpstream listed) {
       this.listed = listed;
     }
   }
 
-  private final Map<UpstreamName, Belief> beliefs = new HashMap<>();
+  private final Map<UpstreamName, Entry> entries = new HashMap<>();
   private boolean reachable;
   private boolean known;
-  private long backAtMillis;
-  private long heardAtMillis;
+  private long recoveredAtMillis;
+  private long lastReceivedAtMillis;
 
   /** Starts with nothing known. */
   public DiscoveredUpstreams() {}
 
   /** Records that the list could not be read. */
-  public void lost() {
+  public void readFailed() {
     reachable = false;
   }
 
@@ -59,14 +59,14 @@
    */
   public boolean listed(
       List<ListedUpstream> whole, Collection<UpstreamName> unusable, long nowMillis) {
-    heard(nowMillis);
-    boolean changed = beliefs.keySet().removeAll(unusable);
+    received(nowMillis);
+    boolean changed = entries.keySet().removeAll(unusable);
     Set<UpstreamName> names = new HashSet<>();
     for (ListedUpstream one : whole) {
       names.add(one.definition().name());
       changed |= put(one);
     }
-    for (UpstreamName name : List.copyOf(beliefs.keySet())) {
+    for (UpstreamName name : List.copyOf(entries.keySet())) {
       if (!names.contains(name)) {
         changed |= remove(name, nowMillis);
       }
@@ -79,7 +79,7 @@
    * Handles the list as another daemon knows it, while it cannot be read here; true when that
    * changes what is believed. Nothing changes once the list was read.
    */
-  public boolean learned(List<ListedUpstream> others) {
+  public boolean listedByPeer(List<ListedUpstream> others) {
     if (known) {
       return false;
     }
@@ -90,14 +90,14 @@
 
   /** Handles one entry that is new or has changed; true when that changes what is believed. */
   public boolean changed(ListedUpstream one, long nowMillis) {
-    heard(nowMillis);
+    received(nowMillis);
     return put(one);
   }
 
   /** Records that an entry was removed; true when that changes what is believed. */
   public boolean removed(UpstreamName name, long nowMillis) {
-    heard(nowMillis);
-    return beliefs.containsKey(name) && remove(name, nowMillis);
+    received(nowMillis);
+    return entries.containsKey(name) && remove(name, nowMillis);
   }
 
   /**
@@ -106,24 +106,24 @@
    * counts.
    */
   public boolean unusable(UpstreamName name, long nowMillis) {
-    heard(nowMillis);
-    return beliefs.remove(name) != null;
+    received(nowMillis);
+    return entries.remove(name) != null;
   }
 
   /** Records that the list was heard from without news. */
-  public void heard(long nowMillis) {
+  public void received(long nowMillis) {
     if (!reachable) {
       reachable = true;
-      backAtMillis = nowMillis;
+      recoveredAtMillis = nowMillis;
     }
-    heardAtMillis = nowMillis;
+    lastReceivedAtMillis = nowMillis;
   }
 
   /** Drops what was missing for too long; true when something was. */
   public boolean tick(long nowMillis) {
-    return beliefs
+    return entries
         .values()
-        .removeIf(belief -> belief.lapsesAtMillis.filter(at -> nowMillis >= at).isPresent());
+        .removeIf(entry -> entry.expiresAtMillis.filter(at -> nowMillis >= at).isPresent());
   }
 
   /** Whether the list was ever read. */
@@ -137,8 +137,8 @@
   }
 
   /** When the list was last heard from. */
-  public long heardAtMillis() {
-    return heardAtMillis;
+  public long lastReceivedAtMillis() {
+    return lastReceivedAtMillis;
   }
 
   /**
@@ -148,34 +148,36 @@
    * written by something else and names no upstream.
    */
   public List<UpstreamDefinition> upstreams() {
-    List<UpstreamDefinition> all = new ArrayList<>(beliefs.size());
-    beliefs.values().forEach(belief -> all.add(belief.listed.definition()));
-    Map<String, Integer> stating = new HashMap<>();
+    List<UpstreamDefinition> all = new ArrayList<>(entries.size());
+    entries.values().forEach(entry -> all.add(entry.listed.definition()));
+    Map<String, Integer> startTimeBalances = new HashMap<>();
     for (UpstreamDefinition one : all) {
-      stating.merge(one.service(), one.startedAtMillis().isPresent() ? 1 : -1, Integer::sum);
+      startTimeBalances.merge(
+          one.service(), one.startedAtMillis().isPresent() ? 1 : -1, Integer::sum);
     }
-    all.removeIf(one -> one.startedAtMillis().isEmpty() && stating.get(one.service()) > 0);
+    all.removeIf(
+        one -> one.startedAtMillis().isEmpty() && startTimeBalances.get(one.service()) > 0);
     return all;
   }
 
   private boolean put(ListedUpstream one) {
-    Belief belief = beliefs.get(one.definition().name());
-    if (belief == null) {
-      beliefs.put(one.definition().name(), new Belief(one));
+    Entry entry = entries.get(one.definition().name());
+    if (entry == null) {
+      entries.put(one.definition().name(), new Entry(one));
       return true;
     }
-    belief.lapsesAtMillis = Optional.empty();
-    boolean ofEarlierLife =
+    entry.expiresAtMillis = Optional.empty();
+    boolean isOfEarlierIncarnation =
         one.definition().startedAtMillis().isPresent()
-            && belief.listed.definition().incarnation().supersedes(one.definition().incarnation());
-    if (belief.listed.revision().compareTo(one.revision()) > 0 || ofEarlierLife) {
+            && entry.listed.definition().incarnation().supersedes(one.definition().incarnation());
+    if (entry.listed.revision().compareTo(one.revision()) > 0 || isOfEarlierIncarnation) {
       return false;
     }
-    if (isUndone(belief.listed, one)) {
+    if (isUndrainedByRestore(entry.listed, one)) {
       return false;
     }
-    boolean changed = !belief.listed.definition().equals(one.definition());
-    belief.listed = one;
+    boolean changed = !entry.listed.definition().equals(one.definition());
+    entry.listed = one;
     return changed;
   }
 
@@ -183,7 +185,7 @@
    * Guards against new work on an upstream that leaves: the store came back from a copy made before
    * it said so, and its entry shows it as it was then. A life that leaves does not come back.
    */
-  private static boolean isUndone(ListedUpstream known, ListedUpstream restored) {
+  private static boolean isUndrainedByRestore(ListedUpstream known, ListedUpstream restored) {
     return restored.revision().epoch() > known.revision().epoch()
         && known.definition().drained()
         && !restored.definition().drained()
@@ -191,15 +193,15 @@
   }
 
   private boolean remove(UpstreamName name, long nowMillis) {
-    Belief belief = beliefs.get(name);
-    long mayReturnUntil = backAtMillis + RETURN_MILLIS;
-    if (known && nowMillis < mayReturnUntil && !belief.listed.definition().drained()) {
-      if (belief.lapsesAtMillis.isEmpty()) {
-        belief.lapsesAtMillis = Optional.of(mayReturnUntil);
+    Entry entry = entries.get(name);
+    long retainedUntilMillis = recoveredAtMillis + REAPPEARANCE_MILLIS;
+    if (known && nowMillis < retainedUntilMillis && !entry.listed.definition().drained()) {
+      if (entry.expiresAtMillis.isEmpty()) {
+        entry.expiresAtMillis = Optional.of(retainedUntilMillis);
       }
       return false;
     }
-    beliefs.remove(name);
+    entries.remove(name);
     return true;
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/discovery/DiscoveredUpstreamsTest.java
+++ b/core/src/test/java/org/marjoramsail/core/discovery/DiscoveredUpstreamsTest.java
@@ -10,15 +10,15 @@
 
 class DiscoveredUpstreamsTest {
 
-  private static final long BACK = 10_000;
+  private static final long RECOVERED_AT_MILLIS = 10_000;
 
-  private final DiscoveredUpstreams beliefs = new DiscoveredUpstreams();
+  private final DiscoveredUpstreams discovered = new DiscoveredUpstreams();
 
   @Test
   void nothingIsKnownBeforeTheFirstList() {
-    assertThat(beliefs.isKnown()).isFalse();
-    beliefs.listed(List.of(), List.of(), 0);
-    assertThat(beliefs.isKnown()).isTrue();
+    assertThat(discovered.isKnown()).isFalse();
+    discovered.listed(List.of(), List.of(), 0);
+    assertThat(discovered.isKnown()).isTrue();
   }
 
   /**
@@ -28,14 +28,15 @@
    */
   @Test
   void entriesThatLapsedInAnOutageAreBelievedUntilTheyHadTimeToReturn() {
-    beliefs.listed(List.of(listed("a", 1, false), listed("b", 2, false)), List.of(), 0);
-    beliefs.lost();
+    discovered.listed(List.of(listed("a", 1, false), listed("b", 2, false)), List.of(), 0);
+    discovered.readFailed();
 
-    assertThat(beliefs.listed(List.of(), List.of(), BACK)).isFalse();
+    assertThat(discovered.listed(List.of(), List.of(), RECOVERED_AT_MILLIS)).isFalse();
     assertThat(names()).containsExactlyInAnyOrder("a", "b");
 
-    beliefs.changed(listed("a", 9, false), BACK + 1_500);
-    assertThat(beliefs.tick(BACK + DiscoveredUpstreams.RETURN_MILLIS)).isTrue();
+    discovered.changed(listed("a", 9, false), RECOVERED_AT_MILLIS + 1_500);
+    assertThat(discovered.tick(RECOVERED_AT_MILLIS + DiscoveredUpstreams.REAPPEARANCE_MILLIS))
+        .isTrue();
     assertThat(names()).containsExactly("a");
   }
 
@@ -45,8 +46,8 @@
    */
   @Test
   void anEntryThatIsRemovedWhileTheListIsReadIsGoneAtOnce() {
-    beliefs.listed(List.of(listed("a", 1, false)), List.of(), 0);
-    assertThat(beliefs.removed(new UpstreamName("a"), BACK)).isTrue();
+    discovered.listed(List.of(listed("a", 1, false)), List.of(), 0);
+    assertThat(discovered.removed(new UpstreamName("a"), RECOVERED_AT_MILLIS)).isTrue();
     assertThat(names()).isEmpty();
   }
 
@@ -56,18 +57,18 @@
    */
   @Test
   void aLeavingEntryThatIsMissingAfterAnOutageIsGone() {
-    beliefs.listed(List.of(listed("a", 1, true)), List.of(), 0);
-    beliefs.lost();
-    beliefs.listed(List.of(), List.of(), BACK);
+    discovered.listed(List.of(listed("a", 1, true)), List.of(), 0);
+    discovered.readFailed();
+    discovered.listed(List.of(), List.of(), RECOVERED_AT_MILLIS);
     assertThat(names()).isEmpty();
   }
 
   /** A change that was under way for long arrives after a newer one. */
   @Test
   void anOlderEntryChangesNothing() {
-    beliefs.listed(List.of(listed("a", 5, true)), List.of(), 0);
-    assertThat(beliefs.changed(listed("a", 4, false), 1)).isFalse();
-    assertThat(beliefs.upstreams().get(0).drained()).isTrue();
+    discovered.listed(List.of(listed("a", 5, true)), List.of(), 0);
+    assertThat(discovered.changed(listed("a", 4, false), 1)).isFalse();
+    assertThat(discovered.upstreams().get(0).drained()).isTrue();
   }
 
   /**
@@ -77,34 +78,41 @@
    */
   @Test
   void whatAnEarlierLifeWroteChangesNothingBack() {
-    beliefs.listed(List.of(born("a", 5, false, 2_000)), List.of(), 0);
+    discovered.listed(List.of(listedWithStart("a", 5, false, 2_000)), List.of(), 0);
 
-    assertThat(beliefs.changed(born("a", 6, true, 1_000), 1)).isFalse();
-    assertThat(beliefs.listed(List.of(born("a", 6, true, 1_000)), List.of(), 2)).isFalse();
+    assertThat(discovered.changed(listedWithStart("a", 6, true, 1_000), 1)).isFalse();
+    assertThat(discovered.listed(List.of(listedWithStart("a", 6, true, 1_000)), List.of(), 2))
+        .isFalse();
 
-    assertThat(beliefs.upstreams().get(0).drained()).isFalse();
-    assertThat(beliefs.changed(born("a", 7, false, 3_000), 3)).isTrue();
+    assertThat(discovered.upstreams().get(0).drained()).isFalse();
+    assertThat(discovered.changed(listedWithStart("a", 7, false, 3_000), 3)).isTrue();
   }
 
   /** An entry that was good was overwritten by something that is no entry. */
   @Test
   void anEntryThatCannotBeUsedAnyMoreNamesNoUpstream() {
-    beliefs.listed(List.of(listed("a", 1, false), listed("b", 1, false)), List.of(), 0);
-    beliefs.lost();
+    discovered.listed(List.of(listed("a", 1, false), listed("b", 1, false)), List.of(), 0);
+    discovered.readFailed();
 
-    assertThat(beliefs.listed(List.of(listed("b", 1, false)), List.of(name("a")), BACK)).isTrue();
-    assertThat(beliefs.unusable(name("b"), BACK + 1)).isTrue();
+    assertThat(
+            discovered.listed(
+                List.of(listed("b", 1, false)), List.of(name("a")), RECOVERED_AT_MILLIS))
+        .isTrue();
+    assertThat(discovered.unusable(name("b"), RECOVERED_AT_MILLIS + 1)).isTrue();
 
     assertThat(names()).isEmpty();
-    beliefs.changed(listed("a", 9, false), BACK + 2);
+    discovered.changed(listed("a", 9, false), RECOVERED_AT_MILLIS + 2);
     assertThat(names()).containsExactly("a");
   }
 
   /** Something that is no server wrote an entry beside those of servers, all of which say more. */
   @Test
   void whereMostSayWhenTheyStartedOneThatDoesNotIsNoUpstream() {
-    beliefs.listed(
-        List.of(born("a", 1, false, 1_000), born("b", 2, false, 1_000), listed("c", 3, false)),
+    discovered.listed(
+        List.of(
+            listedWithStart("a", 1, false, 1_000),
+            listedWithStart("b", 2, false, 1_000),
+            listed("c", 3, false)),
         List.of(),
         0);
 
@@ -114,10 +122,10 @@
   /** Engines say when they started and plain servers do not; both serve. */
   @Test
   void serversOfOneServiceNeedNotSayWhatThoseOfAnotherDo() {
-    beliefs.listed(
+    discovered.listed(
         List.of(
-            born("a", 1, false, 1_000),
-            born("b", 2, false, 1_000),
+            listedWithStart("a", 1, false, 1_000),
+            listedWithStart("b", 2, false, 1_000),
             listed("c", "another", 3, false)),
         List.of(),
         0);
@@ -129,7 +137,7 @@
     return new UpstreamName(value);
   }
 
-  private static ListedUpstream born(
+  private static ListedUpstream listedWithStart(
       String name, long revision, boolean drained, long startedAtMillis) {
     return new ListedUpstream(
         listed(name, revision, drained).definition().startedAt(startedAtMillis),
@@ -142,21 +150,22 @@
    */
   @Test
   void aLowerRevisionOfALaterEpochIsNewer() {
-    beliefs.listed(List.of(listed("a", 900, false)), List.of(), 0);
+    discovered.listed(List.of(listed("a", 900, false)), List.of(), 0);
 
-    assertThat(beliefs.listed(List.of(inEpoch(2, listed("a", 400, true))), List.of(), 10)).isTrue();
-    assertThat(beliefs.upstreams()).singleElement().matches(UpstreamDefinition::drained);
-    assertThat(beliefs.changed(listed("a", 901, false), 20)).isFalse();
+    assertThat(discovered.listed(List.of(inEpoch(2, listed("a", 400, true))), List.of(), 10))
+        .isTrue();
+    assertThat(discovered.upstreams()).singleElement().matches(UpstreamDefinition::drained);
+    assertThat(discovered.changed(listed("a", 901, false), 20)).isFalse();
   }
 
   /** The copy was made before a server said that it leaves, and shows it as it was then. */
   @Test
   void aServerThatLeavesDoesNotComeBackWithACopy() {
-    beliefs.listed(List.of(listed("a", 900, true)), List.of(), 0);
+    discovered.listed(List.of(listed("a", 900, true)), List.of(), 0);
 
-    beliefs.listed(List.of(inEpoch(2, listed("a", 400, false))), List.of(), 10);
+    discovered.listed(List.of(inEpoch(2, listed("a", 400, false))), List.of(), 10);
 
-    assertThat(beliefs.upstreams()).singleElement().matches(UpstreamDefinition::drained);
+    assertThat(discovered.upstreams()).singleElement().matches(UpstreamDefinition::drained);
   }
 
   private static ListedUpstream inEpoch(long epoch, ListedUpstream one) {
@@ -164,7 +173,7 @@
   }
 
   private List<String> names() {
-    return beliefs.upstreams().stream().map(one -> one.name().value()).toList();
+    return discovered.upstreams().stream().map(one -> one.name().value()).toList();
   }
 
   private static ListedUpstream listed(String name, long revision, boolean drained) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingState.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingState.java
@@ -122,7 +122,7 @@
     if (newer) {
       routing = routes;
     }
-    if (beliefs.learned(upstreams) || newer) {
+    if (beliefs.listedByPeer(upstreams) || newer) {
       LOG.atInfo()
           .addKeyValue("version", routing.map(RoutingConfiguration::version).orElse(0L))
           .addKeyValue("upstreams", upstreams.size())
@@ -193,7 +193,7 @@
   /** Records that the list of upstreams was heard from without news. */
   public void upstreamListResponded() {
     upstreamsBack();
-    beliefs.heard(clock.millis());
+    beliefs.received(clock.millis());
   }
 
   /** Records that the list of upstreams could not be read. */
@@ -202,7 +202,7 @@
       upstreamsReachable = false;
       LOG.atWarn().addKeyValue("cause", cause).log("list of upstreams cannot be read");
     }
-    beliefs.lost();
+    beliefs.readFailed();
   }
 
   /** Does what time has made due; called some times a second. */
@@ -228,7 +228,7 @@
 
   /** How long ago the list of upstreams was heard from, in milliseconds. */
   public double ageMillis() {
-    return (double) (clock.millis() - beliefs.heardAtMillis());
+    return (double) (clock.millis() - beliefs.lastReceivedAtMillis());
   }
 
   /** The version of the routes in force; zero before the first. */
