--- a/core/src/test/java/org/marjoramsail/core/feedback/UpstreamFeedbackTableTest.java
+++ b/core/src/test/java/org/marjoramsail/core/feedback/UpstreamFeedbackTableTest.java
@@ -15,54 +15,54 @@
 class UpstreamFeedbackTableTest {
 
   private static final UpstreamName NAME = new UpstreamName("plain-0");
-  private static final Incarnation FIRST_LIFE = new Incarnation(NAME, 1_000);
-  private static final Incarnation NEXT_LIFE = new Incarnation(NAME, 2_000);
+  private static final Incarnation FIRST_INCARNATION = new Incarnation(NAME, 1_000);
+  private static final Incarnation NEXT_INCARNATION = new Incarnation(NAME, 2_000);
   private static final UpstreamFeedback LEAVES =
       new UpstreamFeedback(Optional.empty(), true, Optional.empty(), 0);
   private static final UpstreamFeedback UNREADABLE =
       new UpstreamFeedback(Optional.empty(), false, Optional.empty(), 1);
 
-  private final UpstreamFeedbackTable conditions = new UpstreamFeedbackTable();
+  private final UpstreamFeedbackTable table = new UpstreamFeedbackTable();
 
   @Test
   void aLimitHoldsUntilAnAnswerNamesNone() {
-    assertThat(hear(limit(4))).containsExactly(FeedbackChange.LIMIT_STATED);
-    assertThat(hear(limit(4))).isEmpty();
-    assertThat(hear(limit(2))).containsExactly(FeedbackChange.LIMIT_CHANGED);
-    assertThat(conditions.limited()).isEqualTo(1);
+    assertThat(receive(limit(4))).containsExactly(FeedbackChange.LIMIT_STATED);
+    assertThat(receive(limit(4))).isEmpty();
+    assertThat(receive(limit(2))).containsExactly(FeedbackChange.LIMIT_CHANGED);
+    assertThat(table.limited()).isEqualTo(1);
 
-    assertThat(hear(UpstreamFeedback.NOTHING)).containsExactly(FeedbackChange.LIMIT_ENDED);
-    assertThat(conditions.limited()).isZero();
+    assertThat(receive(UpstreamFeedback.NOTHING)).containsExactly(FeedbackChange.LIMIT_ENDED);
+    assertThat(table.limited()).isZero();
   }
 
   @Test
   void aLimitThatMeansNothingNeitherBeginsNorEndsOne() {
-    assertThat(hear(UNREADABLE)).containsExactly(FeedbackChange.UNREADABLE);
-    assertThat(conditions.limited()).isZero();
+    assertThat(receive(UNREADABLE)).containsExactly(FeedbackChange.UNREADABLE);
+    assertThat(table.limited()).isZero();
 
-    hear(limit(4));
-    hear(UNREADABLE);
+    receive(limit(4));
+    receive(UNREADABLE);
 
-    assertThat(conditions.limited()).isEqualTo(1);
+    assertThat(table.limited()).isEqualTo(1);
   }
 
   @Test
   void leavingIsFinalForOneLifeAndSaysNothingOfTheNext() {
-    assertThat(hear(LEAVES)).containsExactly(FeedbackChange.LEAVING_STATED);
-    assertThat(hear(UpstreamFeedback.NOTHING)).isEmpty();
-    assertThat(conditions.leaving()).isEqualTo(1);
+    assertThat(receive(LEAVES)).containsExactly(FeedbackChange.LEAVING_STATED);
+    assertThat(receive(UpstreamFeedback.NOTHING)).isEmpty();
+    assertThat(table.leaving()).isEqualTo(1);
 
-    assertThat(conditions.heard(NEXT_LIFE, UpstreamFeedback.NOTHING, 10)).isEmpty();
-    assertThat(conditions.leaving()).isEqualTo(1);
+    assertThat(table.update(NEXT_INCARNATION, UpstreamFeedback.NOTHING, 10)).isEmpty();
+    assertThat(table.leaving()).isEqualTo(1);
   }
 
   @Test
   void aPauseHoldsForTheLongestTimeThatWasAskedFor() {
-    conditions.heard(FIRST_LIFE, pause(3_000), 0);
-    conditions.heard(FIRST_LIFE, pause(500), 1_000);
+    table.update(FIRST_INCARNATION, pause(3_000), 0);
+    table.update(FIRST_INCARNATION, pause(500), 1_000);
 
-    assertThat(conditions.paused(2_999)).isEqualTo(1);
-    assertThat(conditions.paused(3_000)).isZero();
+    assertThat(table.paused(2_999)).isEqualTo(1);
+    assertThat(table.paused(3_000)).isZero();
   }
 
   /**
@@ -71,13 +71,13 @@
    */
   @Test
   void whatIsKnownOfALifeOutlastsItsEntryInTheList() {
-    hear(LEAVES);
+    receive(LEAVES);
 
-    conditions.listed(Set.of(), 30_000);
+    table.listed(Set.of(), 30_000);
 
-    assertThat(conditions.leaving()).isEqualTo(1);
-    conditions.listed(Set.of(), 600_001);
-    assertThat(conditions.leaving()).isZero();
+    assertThat(table.leaving()).isEqualTo(1);
+    table.listed(Set.of(), 600_001);
+    assertThat(table.leaving()).isZero();
   }
 
   /**
@@ -88,9 +88,9 @@
   void whatAnOperatorTookOutOfServiceIsNotToldAsItsWord() {
     UpstreamDefinition drained = upstream("plain-1", true);
     UpstreamDefinition leaving = upstream("plain-2", false);
-    conditions.heard(leaving.incarnation(), LEAVES, 0);
+    table.update(leaving.incarnation(), LEAVES, 0);
 
-    assertThat(conditions.toRelay(List.of(drained, leaving), 10))
+    assertThat(table.toRelay(List.of(drained, leaving), 10))
         .containsExactly(
             new RelayedFeedback(
                 leaving.name(), Incarnation.UNKNOWN_START, Optional.empty(), true, 0));
@@ -99,9 +99,9 @@
   @Test
   void anOwnerIsToldALimitWithItsAge() {
     UpstreamDefinition limited = upstream("plain-1", false);
-    conditions.heard(limited.incarnation(), limit(4), 100);
+    table.update(limited.incarnation(), limit(4), 100);
 
-    assertThat(conditions.toRelay(List.of(limited), 350))
+    assertThat(table.toRelay(List.of(limited), 350))
         .containsExactly(
             new RelayedFeedback(
                 limited.name(), Incarnation.UNKNOWN_START, Optional.of(4.0), false, 250));
@@ -109,13 +109,13 @@
 
   @Test
   void anUpstreamTakesRequestsAgainAfterAPauseAndNotOnceItLeaves() {
-    conditions.heard(FIRST_LIFE, pause(500), 0);
-    assertThat(conditions.isAccepting(FIRST_LIFE, 499)).isFalse();
-    assertThat(conditions.isAccepting(FIRST_LIFE, 500)).isTrue();
+    table.update(FIRST_INCARNATION, pause(500), 0);
+    assertThat(table.isAccepting(FIRST_INCARNATION, 499)).isFalse();
+    assertThat(table.isAccepting(FIRST_INCARNATION, 500)).isTrue();
 
-    hear(LEAVES);
-    assertThat(conditions.isAccepting(FIRST_LIFE, 60_000)).isFalse();
-    assertThat(conditions.isAccepting(NEXT_LIFE, 60_000)).isTrue();
+    receive(LEAVES);
+    assertThat(table.isAccepting(FIRST_INCARNATION, 60_000)).isFalse();
+    assertThat(table.isAccepting(NEXT_INCARNATION, 60_000)).isTrue();
   }
 
   private static UpstreamDefinition upstream(String name, boolean drained) {
@@ -132,8 +132,8 @@
         drained);
   }
 
-  private Set<FeedbackChange> hear(UpstreamFeedback statement) {
-    return conditions.heard(FIRST_LIFE, statement, 0);
+  private Set<FeedbackChange> receive(UpstreamFeedback feedback) {
+    return table.update(FIRST_INCARNATION, feedback, 0);
   }
 
   private static UpstreamFeedback limit(double perSecond) {
--- a/core/src/test/java/org/marjoramsail/core/placement/PlacementSimulation.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PlacementSimulation.java
@@ -393,7 +393,7 @@
       return;
     }
     UpstreamFeedback upstreamFeedback = feedback.apply(upstream);
-    host.receivedFeedback.heard(
+    host.receivedFeedback.update(
         definitionOf(upstream).incarnation(), upstreamFeedback, events.now());
     updateShare(host, upstream, upstreamFeedback);
     if (!upstreamFeedback.equals(UpstreamFeedback.NOTHING)) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamFeedbackRecorder.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamFeedbackRecorder.java
@@ -52,7 +52,7 @@
   /** Handles what the head of an answer says of the upstream that gave it. */
   public void heard(UpstreamDefinition upstream, UpstreamFeedback statement) {
     Set<FeedbackChange> changes =
-        conditions.heard(upstream.incarnation(), statement, clock.millis());
+        conditions.update(upstream.incarnation(), statement, clock.millis());
     for (FeedbackChange change : changes) {
       counters.get(change).increment();
       if (!NOT_LOGGED.contains(change)) {
