--- a/core/src/main/java/org/marjoramsail/core/routing/EngineFacts.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/EngineProfile.java
@@ -11,7 +11,7 @@
  * @param handleMillis how long a KV cache lives after its prefill
  * @param roleChangeMillis how long an engine takes to change its role
  */
-public record EngineFacts(
+public record EngineProfile(
     int slots,
     int memoryTokens,
     long kvBytesPerToken,
--- a/core/src/main/java/org/marjoramsail/core/routing/PoolConfiguration.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/PoolConfiguration.java
@@ -56,10 +56,10 @@
   }
 
   private static UpstreamDefinition withMemory(
-      UpstreamDefinition upstream, Optional<EngineFacts> facts) {
+      UpstreamDefinition upstream, Optional<EngineProfile> facts) {
     int slots = upstream.slots();
     return upstream.holding(
         facts.isPresent() ? slots : slots + slots / QUEUED_SHARE,
-        facts.map(EngineFacts::memoryTokens));
+        facts.map(EngineProfile::memoryTokens));
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/routing/RoutedService.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/RoutedService.java
@@ -9,4 +9,4 @@
  * @param connections how many connections one of its upstreams accepts from all callers together
  * @param engines what its engines can do; absent for a plain service
  */
-public record RoutedService(String name, int connections, Optional<EngineFacts> engines) {}
+public record RoutedService(String name, int connections, Optional<EngineProfile> engines) {}
--- a/core/src/test/java/org/marjoramsail/core/routing/PoolConfigurationTest.java
+++ b/core/src/test/java/org/marjoramsail/core/routing/PoolConfigurationTest.java
@@ -24,7 +24,7 @@
                   new RoutedService(
                       "engines",
                       100,
-                      Optional.of(new EngineFacts(16, 30_000, 18_432, 1, 11, 500, 6_000)))),
+                      Optional.of(new EngineProfile(16, 30_000, 18_432, 1, 11, 500, 6_000)))),
               new CallerBounds(1, 1, 1, 1)),
           List.of(
               upstream("plain", "desk", UpstreamRole.PLAIN),
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingState.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingState.java
@@ -13,7 +13,7 @@
 import org.marjoramsail.core.model.Incarnation;
 import org.marjoramsail.core.model.UpstreamName;
 import org.marjoramsail.core.model.UpstreamRole;
-import org.marjoramsail.core.routing.EngineFacts;
+import org.marjoramsail.core.routing.EngineProfile;
 import org.marjoramsail.core.routing.PoolConfiguration;
 import org.marjoramsail.core.routing.RoutedService;
 import org.marjoramsail.core.routing.RoutingConfiguration;
@@ -237,7 +237,7 @@
   }
 
   /** What the engines of a service can do. */
-  public Optional<EngineFacts> engines(String service) {
+  public Optional<EngineProfile> engines(String service) {
     return routing.flatMap(known -> known.service(service)).flatMap(RoutedService::engines);
   }
 
