--- a/daemon/src/main/java/org/marjoramsail/daemon/configuration/ChangeAcceptance.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/configuration/ChangeAcceptance.java
@@ -71,7 +71,7 @@
   }
 
   @Override
-  public Future<ChangeResult> tryOut(ConfigurationChange change) {
+  public Future<ChangeResult> validate(ConfigurationChange change) {
     return RootObject.read(store)
         .map(root -> trial(change, root.root()))
         .recover(failure -> Future.succeededFuture(unavailable(failure)));
--- a/daemon/src/main/java/org/marjoramsail/daemon/configuration/ConfigurationChanges.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/configuration/ConfigurationChanges.java
@@ -14,7 +14,7 @@
   Future<ChangeResult> accept(ConfigurationChange change);
 
   /** Says what a change would do on the newest revision, and does nothing. */
-  Future<ChangeResult> tryOut(ConfigurationChange change);
+  Future<ChangeResult> validate(ConfigurationChange change);
 
   /** Makes a new revision with all objects of an earlier one. */
   Future<ChangeResult> rollBack(
--- a/daemon/src/main/java/org/marjoramsail/daemon/configuration/ConfigurationService.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/configuration/ConfigurationService.java
@@ -143,8 +143,8 @@
   }
 
   @Override
-  public Future<ChangeResult> tryOut(ConfigurationChange change) {
-    return acceptance.tryOut(change);
+  public Future<ChangeResult> validate(ConfigurationChange change) {
+    return acceptance.validate(change);
   }
 
   @Override
--- a/daemon/src/main/java/org/marjoramsail/daemon/operator/ConfigurationOrders.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/operator/ConfigurationOrders.java
@@ -80,7 +80,7 @@
         new ConfigurationChange(
             context.order(), context.operator().name(), context.summary(), base, operations);
     Future<ChangeResult> result =
-        context.isDryRun() ? acceptance.tryOut(change) : acceptance.accept(change);
+        context.isDryRun() ? acceptance.validate(change) : acceptance.accept(change);
     return result.compose(this::outcome);
   }
 
--- a/daemon/src/test/java/org/marjoramsail/daemon/configuration/ChangeAcceptanceTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/configuration/ChangeAcceptanceTest.java
@@ -133,7 +133,7 @@
   @Test
   void aTrialShowsTheDifferenceAndWritesNothing() throws Exception {
     Future<ChangeResult> result =
-        acceptance.tryOut(Samples.putting("o1", Samples.model("lector-8b", "v2")));
+        acceptance.validate(Samples.putting("o1", Samples.model("lector-8b", "v2")));
 
     ChangeResult.Trial trial = (ChangeResult.Trial) result.result();
     assertThat(trial.difference().objects().get(0).fields())
