--- a/core/src/main/java/org/marjoramsail/core/routing/CallerBounds.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/CallerLimits.java
@@ -8,4 +8,4 @@
  * @param headerMillis how long a head may take to come in
  * @param idleMillis how long a connection may stay without a request
  */
-public record CallerBounds(int headerBytes, long bodyBytes, long headerMillis, long idleMillis) {}
+public record CallerLimits(int headerBytes, long bodyBytes, long headerMillis, long idleMillis) {}
--- a/core/src/main/java/org/marjoramsail/core/routing/RoutingConfiguration.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/RoutingConfiguration.java
@@ -11,7 +11,7 @@
  * @param version rises with each change, in uneven steps
  * @param routes where requests go
  * @param services what they go to
- * @param bounds what callers may cost
+ * @param limits what callers may cost
  * @param organisations who may call, and how much; empty where anybody may
  * @param keys by which their callers are known
  */
@@ -19,7 +19,7 @@
     long version,
     RouteTable routes,
     List<RoutedService> services,
-    CallerBounds bounds,
+    CallerLimits limits,
     List<OrganisationDefinition> organisations,
     OrganisationKeys keys) {
 
@@ -31,14 +31,14 @@
 
   /** A configuration that anybody may use as much as they like. */
   public RoutingConfiguration(
-      long version, RouteTable routes, List<RoutedService> services, CallerBounds bounds) {
-    this(version, routes, services, bounds, List.of(), OrganisationKeys.NONE);
+      long version, RouteTable routes, List<RoutedService> services, CallerLimits limits) {
+    this(version, routes, services, limits, List.of(), OrganisationKeys.NONE);
   }
 
   /** The same with organisations, whose callers alone may use it. */
   public RoutingConfiguration withOrganisations(List<OrganisationDefinition> newer) {
     return new RoutingConfiguration(
-        version, routes, services, bounds, newer, new OrganisationKeys(newer));
+        version, routes, services, limits, newer, new OrganisationKeys(newer));
   }
 
   /** Whether callers have to show a key. */
--- a/core/src/test/java/org/marjoramsail/core/routing/CallerAccessTest.java
+++ b/core/src/test/java/org/marjoramsail/core/routing/CallerAccessTest.java
@@ -81,7 +81,7 @@
 
   private static RoutingConfiguration configuration(List<OrganisationDefinition> organisations) {
     return new RoutingConfiguration(
-            1, new RouteTable(List.of()), List.of(), new CallerBounds(1, 1, 1, 1))
+            1, new RouteTable(List.of()), List.of(), new CallerLimits(1, 1, 1, 1))
         .withOrganisations(organisations);
   }
 
--- a/core/src/test/java/org/marjoramsail/core/routing/PoolConfigurationTest.java
+++ b/core/src/test/java/org/marjoramsail/core/routing/PoolConfigurationTest.java
@@ -25,7 +25,7 @@
                       "engines",
                       100,
                       Optional.of(new EngineProfile(16, 30_000, 18_432, 1, 11, 500, 6_000)))),
-              new CallerBounds(1, 1, 1, 1)),
+              new CallerLimits(1, 1, 1, 1)),
           List.of(
               upstream("plain", "desk", UpstreamRole.PLAIN),
               upstream("decode", "engines", UpstreamRole.DECODE),
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -26,7 +26,7 @@
 import org.marjoramsail.core.outcome.Fingerprint;
 import org.marjoramsail.core.outcome.RequestProfile;
 import org.marjoramsail.core.routing.CallerAccess;
-import org.marjoramsail.core.routing.CallerBounds;
+import org.marjoramsail.core.routing.CallerLimits;
 import org.marjoramsail.core.routing.ForwardingRules;
 import org.marjoramsail.core.routing.PlainResponseTimes;
 import org.marjoramsail.core.routing.Route;
@@ -173,7 +173,7 @@
     }
     Arrival arrival =
         new Arrival(request, terms, route.get(), access.organisation(), receivedAtMillis);
-    readBody(arrival, routing.bounds());
+    readBody(arrival, routing.limits());
   }
 
   private Optional<Refusal> refusalOf(HttpServerRequest request) {
@@ -190,14 +190,14 @@
               500));
     }
     int headBytes = headBytes(request);
-    int mostHeadBytes = routing.get().bounds().headerBytes();
+    int mostHeadBytes = routing.get().limits().headerBytes();
     if (headBytes > mostHeadBytes) {
       return Optional.of(
           Refusal.notRun(
               RefusalReason.HEADERS_TOO_LARGE,
               "The head has " + headBytes + " bytes; allowed: " + mostHeadBytes + "."));
     }
-    long most = routing.get().bounds().bodyBytes();
+    long most = routing.get().limits().bodyBytes();
     long stated = statedLength(request);
     if (stated > most) {
       return Optional.of(tooLarge(stated, most));
@@ -231,7 +231,7 @@
     return Optional.ofNullable(request.getHeader("host")).orElse("");
   }
 
-  private void readBody(Arrival arrival, CallerBounds bounds) {
+  private void readBody(Arrival arrival, CallerLimits bounds) {
     HttpServerRequest request = arrival.request();
     long most = Math.min(LONGEST_BODY_BYTES, bounds.bodyBytes());
     Buffer body = Buffer.buffer();
--- a/daemon/src/test/java/org/marjoramsail/daemon/forward/ForwardingStateTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/forward/ForwardingStateTest.java
@@ -15,7 +15,7 @@
 import org.marjoramsail.core.model.Incarnation;
 import org.marjoramsail.core.model.UpstreamName;
 import org.marjoramsail.core.model.UpstreamRole;
-import org.marjoramsail.core.routing.CallerBounds;
+import org.marjoramsail.core.routing.CallerLimits;
 import org.marjoramsail.core.routing.RouteTable;
 import org.marjoramsail.core.routing.RoutedService;
 import org.marjoramsail.core.routing.RoutingConfiguration;
@@ -36,7 +36,7 @@
             1,
             new RouteTable(List.of()),
             List.of(new RoutedService("desk", 100, Optional.empty())),
-            new CallerBounds(1, 1, 1, 1)));
+            new CallerLimits(1, 1, 1, 1)));
     state.upstreams(List.of(upstream("a"), upstream("b")), List.of());
     now += SETTLED_MILLIS;
     published.clear();
