--- a/core/src/main/java/org/marjoramsail/core/routing/OutputForecast.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/OutputForecast.java
@@ -34,7 +34,7 @@
    * @param mostTokens how many it generates at most
    * @param expected what the caller expects
    */
-  public int tokensOf(String route, int mostTokens, OptionalInt expected) {
+  public int expectedTokens(String route, int mostTokens, OptionalInt expected) {
     double mean = meanTokens.getOrDefault(route, mostTokens * FIRST_SHARE);
     double guess =
         expected.isPresent()
@@ -44,7 +44,7 @@
   }
 
   /** Learns from an answer that came to its end. */
-  public void learn(String route, int mostTokens, int tokens) {
+  public void update(String route, int mostTokens, int tokens) {
     double mean = meanTokens.getOrDefault(route, mostTokens * FIRST_SHARE);
     meanTokens.put(route, mean + LEARNING * (tokens - mean));
   }
--- a/core/src/main/java/org/marjoramsail/core/routing/PlainResponseTimes.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/PlainResponseTimes.java
@@ -24,7 +24,7 @@
   public PlainResponseTimes() {}
 
   /** Learns from an answer. */
-  public void learn(String service, long tookMillis) {
+  public void update(String service, long tookMillis) {
     meanMillis.merge(service, (double) tookMillis, (mean, took) -> mean + LEARNING * (took - mean));
   }
 
--- a/core/src/test/java/org/marjoramsail/core/routing/OutputForecastTest.java
+++ b/core/src/test/java/org/marjoramsail/core/routing/OutputForecastTest.java
@@ -11,21 +11,21 @@
 
   @Test
   void withoutKnowledgeAShareOfTheMostIsExpected() {
-    assertThat(forecast.tokensOf("r", 1_000, OptionalInt.empty())).isEqualTo(450);
+    assertThat(forecast.expectedTokens("r", 1_000, OptionalInt.empty())).isEqualTo(450);
   }
 
   @Test
   void theMeanOfTheRouteIsLearned() {
     for (int answer = 0; answer < 200; answer++) {
-      forecast.learn("r", 1_000, 800);
+      forecast.update("r", 1_000, 800);
     }
-    assertThat(forecast.tokensOf("r", 1_000, OptionalInt.empty())).isBetween(798, 800);
-    assertThat(forecast.tokensOf("other", 1_000, OptionalInt.empty())).isEqualTo(450);
+    assertThat(forecast.expectedTokens("r", 1_000, OptionalInt.empty())).isBetween(798, 800);
+    assertThat(forecast.expectedTokens("other", 1_000, OptionalInt.empty())).isEqualTo(450);
   }
 
   @Test
   void aCallersEstimateIsPulledTowardsTheMeanAndNeverExceedsTheMost() {
-    assertThat(forecast.tokensOf("r", 1_000, OptionalInt.of(100))).isEqualTo(310);
-    assertThat(forecast.tokensOf("r", 1_000, OptionalInt.of(1_000_000))).isEqualTo(1_000);
+    assertThat(forecast.expectedTokens("r", 1_000, OptionalInt.of(100))).isEqualTo(310);
+    assertThat(forecast.expectedTokens("r", 1_000, OptionalInt.of(1_000_000))).isEqualTo(1_000);
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/routing/PlainResponseTimesTest.java
+++ b/core/src/test/java/org/marjoramsail/core/routing/PlainResponseTimesTest.java
@@ -26,7 +26,7 @@
 
   @Test
   void anAnswerOfAQuickServiceIsLookedForElsewhereBeforeItsTarget() {
-    times.learn("desk", 50);
+    times.update("desk", 50);
     assertThat(ForwardingRules.policyOf(ROUTE, times.overdueMillis("desk")).responseStallMillis())
         .isEqualTo(280);
   }
@@ -38,7 +38,7 @@
   @Test
   void answersOfAServiceThatIsSlowByNowAreWaitedFor() {
     for (int answer = 0; answer < 50; answer++) {
-      times.learn("desk", 350);
+      times.update("desk", 350);
     }
     assertThat(ForwardingRules.policyOf(ROUTE, times.overdueMillis("desk")).responseStallMillis())
         .isEqualTo(1_050);
@@ -46,7 +46,7 @@
 
   @Test
   void servicesAreLearnedApart() {
-    times.learn("other", 1_000);
+    times.update("other", 1_000);
     assertThat(times.overdueMillis("desk")).isZero();
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -82,7 +82,7 @@
             dependencies.liveness(),
             dependencies.feedback(),
             this::learn,
-            plainResponseTimes::learn,
+            plainResponseTimes::update,
             closing,
             refusals,
             dependencies.clock());
@@ -299,7 +299,7 @@
         generation
             ? dependencies
                 .forecast()
-                .tokensOf(route.name(), terms.outputTokens(), terms.expectedTokens())
+                .expectedTokens(route.name(), terms.outputTokens(), terms.expectedTokens())
             : 0;
     return new RequestProfile(
         new RequestId(terms.attempt() + "." + dependencies.daemon().host() + "." + sequence++),
@@ -341,7 +341,7 @@
 
   private void learn(RequestProfile profile, int mostTokens, int events) {
     int tokens = events * dependencies.tokensPerEvent().apply(profile.service());
-    dependencies.forecast().learn(profile.rule(), mostTokens, tokens);
+    dependencies.forecast().update(profile.rule(), mostTokens, tokens);
   }
 
   /** Refuses before the body is read; a connection with an unread body is not used again. */
