--- a/core/src/main/java/org/marjoramsail/core/configuration/UpstreamDefinition.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/UpstreamDefinition.java
@@ -64,12 +64,12 @@
   }
 
   /** The same server, holding so many requests and tokens at once. */
-  public UpstreamDefinition holding(int newSlots, Optional<Integer> newMemoryTokens) {
+  public UpstreamDefinition withCapacity(int newSlots, Optional<Integer> newMemoryTokens) {
     return copy(newSlots, newMemoryTokens, startedAtMillis);
   }
 
   /** The same server in the life that began then. */
-  public UpstreamDefinition startedAt(long newStartedAtMillis) {
+  public UpstreamDefinition withStartTime(long newStartedAtMillis) {
     return copy(slots, memoryTokens, Optional.of(newStartedAtMillis));
   }
 
--- a/core/src/main/java/org/marjoramsail/core/routing/PoolConfiguration.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/PoolConfiguration.java
@@ -58,7 +58,7 @@
   private static UpstreamDefinition withMemory(
       UpstreamDefinition upstream, Optional<EngineProfile> facts) {
     int slots = upstream.slots();
-    return upstream.holding(
+    return upstream.withCapacity(
         facts.isPresent() ? slots : slots + slots / QUEUED_SHARE,
         facts.map(EngineProfile::memoryTokens));
   }
--- a/core/src/test/java/org/marjoramsail/core/discovery/DiscoveredUpstreamsTest.java
+++ b/core/src/test/java/org/marjoramsail/core/discovery/DiscoveredUpstreamsTest.java
@@ -132,7 +132,7 @@
   private static ListedUpstream listedWithStart(
       String name, long revision, boolean drained, long startedAtMillis) {
     return new ListedUpstream(
-        listed(name, revision, drained).definition().startedAt(startedAtMillis),
+        listed(name, revision, drained).definition().withStartTime(startedAtMillis),
         new StoreRevision(1, revision));
   }
 
--- a/core/src/test/java/org/marjoramsail/core/placement/PlacementFixtures.java
+++ b/core/src/test/java/org/marjoramsail/core/placement/PlacementFixtures.java
@@ -72,7 +72,7 @@
   /** Returns the same pool after all its upstreams have started at a time. */
   static Configuration startedAt(Configuration pool, long startedAtMillis) {
     List<UpstreamDefinition> upstreams =
-        pool.upstreams().stream().map(one -> one.startedAt(startedAtMillis)).toList();
+        pool.upstreams().stream().map(one -> one.withStartTime(startedAtMillis)).toList();
     return new Configuration(
         pool.revision() + 1,
         pool.services(),
@@ -84,7 +84,7 @@
 
   private static UpstreamDefinition withMemory(UpstreamDefinition upstream, int memoryTokens) {
     return upstream.role() == UpstreamRole.DECODE
-        ? upstream.holding(upstream.slots(), Optional.of(memoryTokens))
+        ? upstream.withCapacity(upstream.slots(), Optional.of(memoryTokens))
         : upstream;
   }
 
