--- a/core/src/main/java/org/marjoramsail/core/configuration/AcceptanceStep.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/AcceptanceStep.java
@@ -18,7 +18,7 @@
    *
    * @param record what it is remembered by
    */
-  record Settled(OrderRecord record) implements AcceptanceStep {}
+  record AlreadyAccepted(OrderRecord record) implements AcceptanceStep {}
 
   /**
    * The change cannot be accepted on this root.
--- a/core/src/main/java/org/marjoramsail/core/configuration/ChangeAcceptor.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ChangeAcceptor.java
@@ -32,7 +32,7 @@
       long wallClockMillis) {
     Optional<OrderRecord> earlier = root.order(change.order());
     if (earlier.isPresent()) {
-      return new AcceptanceStep.Settled(earlier.get());
+      return new AcceptanceStep.AlreadyAccepted(earlier.get());
     }
     long stored = root.configuration().revision();
     if (stored < revisionInForce) {
@@ -48,7 +48,7 @@
       return write(change, root, edited.configuration(), wallClockMillis);
     }
     return new AcceptanceStep.Refuse(
-        new ChangeRefusal.Invalid(((EditResult.Unsound) result).problems()));
+        new ChangeRefusal.Invalid(((EditResult.Invalid) result).problems()));
   }
 
   private static Optional<ChangeRefusal> conflict(
--- a/core/src/main/java/org/marjoramsail/core/configuration/ChangeResult.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ChangeResult.java
@@ -23,5 +23,5 @@
    *
    * @param difference what it would change
    */
-  record Trial(ConfigurationDifference difference) implements ChangeResult {}
+  record DryRun(ConfigurationDifference difference) implements ChangeResult {}
 }
--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationEditor.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationEditor.java
@@ -33,7 +33,7 @@
     ConfigurationChecks.problemsOf(edited).stream()
         .map(problem -> namingDeletion(problem, deleted))
         .forEach(problems::add);
-    return problems.isEmpty() ? new EditResult.Edited(edited) : new EditResult.Unsound(problems);
+    return problems.isEmpty() ? new EditResult.Edited(edited) : new EditResult.Invalid(problems);
   }
 
   /** Applies steps that were checked before, as when they come from another daemon. */
--- a/core/src/main/java/org/marjoramsail/core/configuration/EditResult.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/EditResult.java
@@ -17,10 +17,10 @@
    *
    * @param problems every reason, at least one
    */
-  record Unsound(List<ConfigurationProblem> problems) implements EditResult {
+  record Invalid(List<ConfigurationProblem> problems) implements EditResult {
 
     /** Copies the list, so that the value cannot change. */
-    public Unsound {
+    public Invalid {
       problems = List.copyOf(problems);
     }
   }
--- a/core/src/test/java/org/marjoramsail/core/configuration/ConfigurationEditorTest.java
+++ b/core/src/test/java/org/marjoramsail/core/configuration/ConfigurationEditorTest.java
@@ -46,7 +46,7 @@
                 put(rule("late", 0)),
                 delete(ObjectKind.RULE, "filing")));
 
-    List<ConfigurationProblem> problems = ((EditResult.Unsound) result).problems();
+    List<ConfigurationProblem> problems = ((EditResult.Invalid) result).problems();
     assertThat(problems)
         .extracting(problem -> problem.kind() + " " + problem.object() + " " + problem.field())
         .containsExactlyInAnyOrder(
@@ -70,7 +70,7 @@
         ConfigurationEditor.apply(
             configuration(), change("o1", delete(ObjectKind.SERVICE, "lector")));
 
-    assertThat(((EditResult.Unsound) result).problems())
+    assertThat(((EditResult.Invalid) result).problems())
         .extracting(ConfigurationProblem::kind)
         .containsOnly(Kind.STILL_REFERENCED)
         .hasSize(4);
@@ -83,7 +83,7 @@
             configuration(),
             change("o1", put(rule("filings", 90_000)), delete(ObjectKind.RULE, "filings")));
 
-    assertThat(((EditResult.Unsound) result).problems())
+    assertThat(((EditResult.Invalid) result).problems())
         .extracting(ConfigurationProblem::kind)
         .containsExactly(Kind.DUPLICATE);
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/configuration/ChangeAcceptance.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/configuration/ChangeAcceptance.java
@@ -120,13 +120,13 @@
             root.configuration().revision(),
             revisionInForce.getAsLong(),
             wallClock.millis());
-    if (step instanceof AcceptanceStep.Settled settled) {
+    if (step instanceof AcceptanceStep.AlreadyAccepted settled) {
       return new ChangeResult.Accepted(settled.record(), root);
     }
     if (step instanceof AcceptanceStep.Write write) {
       return RootObject.refusalForSize(write.next())
           .<ChangeResult>map(ChangeResult.Refused::new)
-          .orElseGet(() -> new ChangeResult.Trial(write.difference()));
+          .orElseGet(() -> new ChangeResult.DryRun(write.difference()));
     }
     return new ChangeResult.Refused(((AcceptanceStep.Refuse) step).refusal());
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/configuration/ChangeAttempt.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/configuration/ChangeAttempt.java
@@ -85,7 +85,7 @@
             firstReadRevision.getAsLong(),
             revisionInForce.getAsLong(),
             wallClock.millis());
-    if (step instanceof AcceptanceStep.Settled settled) {
+    if (step instanceof AcceptanceStep.AlreadyAccepted settled) {
       finish(new ChangeResult.Accepted(settled.record(), current.root()));
     } else if (step instanceof AcceptanceStep.Write write) {
       write(current, write);
--- a/daemon/src/main/java/org/marjoramsail/daemon/operator/ConfigurationOrders.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/operator/ConfigurationOrders.java
@@ -128,7 +128,7 @@
                       Optional.of(report),
                       touched));
     }
-    if (result instanceof ChangeResult.Trial trial) {
+    if (result instanceof ChangeResult.DryRun trial) {
       return Future.succeededFuture(
           new OrderOutcome(
               OrderOutcome.State.TRIED,
--- a/daemon/src/test/java/org/marjoramsail/daemon/configuration/ChangeAcceptanceTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/configuration/ChangeAcceptanceTest.java
@@ -135,7 +135,7 @@
     Future<ChangeResult> result =
         acceptance.validate(Samples.putting("o1", Samples.model("lector-8b", "v2")));
 
-    ChangeResult.Trial trial = (ChangeResult.Trial) result.result();
+    ChangeResult.DryRun trial = (ChangeResult.DryRun) result.result();
     assertThat(trial.difference().objects().get(0).fields())
         .extracting(field -> field.before() + " -> " + field.after())
         .containsExactly("v1 -> v2");
