--- a/core/src/main/java/org/marjoramsail/core/configuration/ChangeAcceptor.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ChangeAcceptor.java
@@ -8,9 +8,9 @@
 public final class ChangeAcceptor {
 
   /** How many accepted changes the root remembers; about two hours at the busiest pace planned. */
-  public static final int REMEMBERED_ORDERS = 200;
+  public static final int MAXIMUM_RECENT_ORDERS = 200;
 
-  private static final int MOST_TOUCHED_REMEMBERED = 32;
+  private static final int MAXIMUM_RECORDED_OBJECTS = 32;
 
   private ChangeAcceptor() {}
 
@@ -59,7 +59,7 @@
     if (base > newest || base < oldestKnown) {
       return Optional.of(new ChangeRefusal.BaseUnknown(base, oldestKnown, newest));
     }
-    List<ObjectKey> touched = touched(change, root.configuration());
+    List<ObjectKey> touched = changedObjects(change, root.configuration());
     List<OrderRecord> others =
         root.recentOrders().stream()
             .filter(entry -> entry.revision() > base)
@@ -71,7 +71,7 @@
   }
 
   /** The objects that a change names; empty for all. */
-  private static List<ObjectKey> touched(ConfigurationChange change, Configuration current) {
+  private static List<ObjectKey> changedObjects(ConfigurationChange change, Configuration current) {
     List<ObjectKey> keys = new ArrayList<>();
     for (ConfigurationOperation operation : change.operations()) {
       ConfigurationEditor.keyOf(operation).ifPresent(keys::add);
@@ -87,7 +87,7 @@
       ConfigurationRoot root,
       Configuration edited,
       long wallClockMillis) {
-    List<ObjectKey> touched = touched(change, root.configuration());
+    List<ObjectKey> touched = changedObjects(change, root.configuration());
     OrderRecord entry =
         new OrderRecord(
             change.order(),
@@ -95,10 +95,10 @@
             change.author(),
             change.summary(),
             wallClockMillis,
-            touched.size() > MOST_TOUCHED_REMEMBERED ? List.of() : touched);
+            touched.size() > MAXIMUM_RECORDED_OBJECTS ? List.of() : touched);
     List<OrderRecord> recent = new ArrayList<>(root.recentOrders());
     recent.add(entry);
-    int excess = Math.max(0, recent.size() - REMEMBERED_ORDERS);
+    int excess = Math.max(0, recent.size() - MAXIMUM_RECENT_ORDERS);
     ConfigurationRoot next = new ConfigurationRoot(edited, recent.subList(excess, recent.size()));
     ConfigurationDifference difference =
         ConfigurationDifference.between(root.configuration(), edited);
--- a/core/src/test/java/org/marjoramsail/core/configuration/ChangeAcceptorTest.java
+++ b/core/src/test/java/org/marjoramsail/core/configuration/ChangeAcceptorTest.java
@@ -57,7 +57,7 @@
   @Test
   void aBaseOlderThanWhatIsRememberedIsRefusedAndNotGuessedAt() {
     ConfigurationRoot root = new ConfigurationRoot(configuration(), List.of());
-    for (int order = 0; order <= ChangeAcceptor.REMEMBERED_ORDERS; order++) {
+    for (int order = 0; order <= ChangeAcceptor.MAXIMUM_RECENT_ORDERS; order++) {
       root = after(root, change("o" + order, put(rule("filings", 60_001 + order))));
     }
 
@@ -69,7 +69,7 @@
             0,
             NOW);
 
-    assertThat(root.recentOrders()).hasSize(ChangeAcceptor.REMEMBERED_ORDERS);
+    assertThat(root.recentOrders()).hasSize(ChangeAcceptor.MAXIMUM_RECENT_ORDERS);
     assertThat(((AcceptanceStep.Refuse) step).refusal())
         .isEqualTo(new ChangeRefusal.BaseUnknown(7, 8, 208));
   }
