--- a/core/src/main/java/org/marjoramsail/core/configuration/OrganisationKeys.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/OrganisationKeys.java
@@ -24,7 +24,7 @@
   public static final OrganisationKeys NONE = new OrganisationKeys(List.of());
 
   private final Map<String, OrganisationDefinition> byDigest = new HashMap<>();
-  private final Collection<String> doubled = new TreeSet<>();
+  private final Collection<String> withDuplicateKeys = new TreeSet<>();
 
   /** Indexes the keys of organisations; of two that hold the same key the first holds it. */
   public OrganisationKeys(List<OrganisationDefinition> organisations) {
@@ -33,7 +33,7 @@
         OrganisationDefinition first =
             byDigest.putIfAbsent(digest.toLowerCase(Locale.ROOT), organisation);
         if (first != null && !first.name().equals(organisation.name())) {
-          doubled.add(organisation.name());
+          withDuplicateKeys.add(organisation.name());
         }
       }
     }
@@ -55,7 +55,7 @@
   }
 
   /** Names of organisations that state a key which another one before them holds. */
-  public Collection<String> withKeysOfOthers() {
-    return List.copyOf(doubled);
+  public Collection<String> organisationsWithDuplicateKeys() {
+    return List.copyOf(withDuplicateKeys);
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/routing/CallerAccessTest.java
+++ b/core/src/test/java/org/marjoramsail/core/routing/CallerAccessTest.java
@@ -47,7 +47,7 @@
   void ofTwoOrganisationsWithOneKeyTheFirstHoldsIt() {
     assertThat(organisationOf(CallerAccess.of(KEYED, route(false), Optional.of("k2"))))
         .contains("a");
-    assertThat(KEYED.keys().withKeysOfOthers()).containsExactly("b");
+    assertThat(KEYED.keys().organisationsWithDuplicateKeys()).containsExactly("b");
   }
 
   @Test
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingState.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingState.java
@@ -77,7 +77,7 @@
     }
     routing = Optional.of(newer);
     LOG.atInfo().addKeyValue("version", newer.version()).log("routes in force");
-    for (String organisation : newer.keys().withKeysOfOthers()) {
+    for (String organisation : newer.keys().organisationsWithDuplicateKeys()) {
       LOG.atWarn()
           .addKeyValue("organisation", organisation)
           .log("organisation states a key that another one holds");
