--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationFollower.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationFollower.java
@@ -26,9 +26,9 @@
   private static final int RELAY_FAN_OUT = 4;
   private static final int ORIGIN_FAN_OUT = 16;
   private static final int START_FAN_OUT = 3;
-  private static final long REQUEST_PATIENCE_MILLIS = 1_000;
+  private static final long REQUEST_TIMEOUT_MILLIS = 1_000;
   private static final long FIRST_STORE_PAUSE_MILLIS = 1_000;
-  private static final long LONGEST_STORE_PAUSE_MILLIS = 15_000;
+  private static final long MAXIMUM_STORE_PAUSE_MILLIS = 15_000;
 
   private final ConfigurationPacker packer;
   private final RandomGenerator random;
@@ -82,22 +82,22 @@
   /** Does what time has made due; called a few times a second. */
   public List<FollowerAction> tick(MembershipView view, long nowMillis) {
     List<FollowerAction> actions = new ArrayList<>();
-    chooseWatching(view, actions);
+    updateWatching(view, actions);
     if (!isReady() && !watching && nowMillis >= nextStoreReadMillis) {
       actions.add(new FollowerAction.ReadStore());
       long pause = storePauseMillis / 2 + random.nextLong(storePauseMillis);
       nextStoreReadMillis = nowMillis + pause;
-      storePauseMillis = Math.min(LONGEST_STORE_PAUSE_MILLIS, storePauseMillis * 2);
+      storePauseMillis = Math.min(MAXIMUM_STORE_PAUSE_MILLIS, storePauseMillis * 2);
     }
     if (nowMillis >= nextExchangeMillis) {
       nextExchangeMillis = nowMillis + EXCHANGE_MILLIS / 2 + random.nextLong(EXCHANGE_MILLIS);
-      exchange(view, actions);
+      sendDigests(view, actions);
     }
     return actions;
   }
 
   /** Handles a revision from the store or from an acceptance of this daemon. */
-  public List<FollowerAction> learned(
+  public List<FollowerAction> receiveRevision(
       Configuration configuration, RevisionSource from, MembershipView view) {
     List<FollowerAction> actions = new ArrayList<>();
     if (adopt(configuration, from, Optional.empty(), actions)) {
@@ -111,22 +111,22 @@
       DaemonId from, PeerMessage message, MembershipView view, long nowMillis) {
     List<FollowerAction> actions = new ArrayList<>();
     if (message instanceof RevisionDeltaMessage delta) {
-      takeDeltas(from, delta.deltas(), view, nowMillis, actions);
+      applyDeltas(from, delta.deltas(), view, nowMillis, actions);
     } else if (message instanceof RevisionFullMessage full) {
-      takeFull(from, full, view, actions);
+      applyFull(from, full, view, actions);
     } else if (message instanceof RevisionDigestMessage digest) {
-      compare(from, digest.revision(), nowMillis, actions);
+      compareRevisions(from, digest.revision(), nowMillis, actions);
     } else if (message instanceof RevisionRequestMessage request) {
-      bringUpToDate(from, request.haveRevision(), actions);
-    } else if (message instanceof RevisionStatusRequestMessage question) {
-      RevisionStatusMessage answer =
-          new RevisionStatusMessage(question.question(), current.revision(), source);
-      actions.add(new FollowerAction.Send(from, answer));
+      sendNewerRevisions(from, request.haveRevision(), actions);
+    } else if (message instanceof RevisionStatusRequestMessage statusRequest) {
+      RevisionStatusMessage status =
+          new RevisionStatusMessage(statusRequest.question(), current.revision(), source);
+      actions.add(new FollowerAction.Send(from, status));
     }
     return actions;
   }
 
-  private void chooseWatching(MembershipView view, List<FollowerAction> actions) {
+  private void updateWatching(MembershipView view, List<FollowerAction> actions) {
     DaemonId self = view.self().id();
     boolean chosen =
         WatchRanking.watchers(view, view.self().region()).stream()
@@ -137,7 +137,7 @@
     }
   }
 
-  private void exchange(MembershipView view, List<FollowerAction> actions) {
+  private void sendDigests(MembershipView view, List<FollowerAction> actions) {
     int peers = isReady() ? 1 : START_FAN_OUT;
     for (DaemonId peer : randomPeers(view, peers, Optional.empty())) {
       actions.add(new FollowerAction.Send(peer, new RevisionDigestMessage(current.revision())));
@@ -169,17 +169,17 @@
       Optional<DaemonId> except,
       List<FollowerAction> actions) {
     for (DaemonId peer : randomPeers(view, fanOut, except)) {
-      actions.add(new FollowerAction.Send(peer, newest(revision)));
+      actions.add(new FollowerAction.Send(peer, newestRevisionMessage(revision)));
     }
   }
 
   /** The last step as a delta, or only its number where a delta would not be small. */
-  private PeerMessage newest(long revision) {
+  private PeerMessage newestRevisionMessage(long revision) {
     List<RevisionDelta> last = deltas.lastStep();
     return last.isEmpty() ? new RevisionDigestMessage(revision) : new RevisionDeltaMessage(last);
   }
 
-  private void takeDeltas(
+  private void applyDeltas(
       DaemonId from,
       List<RevisionDelta> steps,
       MembershipView view,
@@ -190,24 +190,24 @@
     for (RevisionDelta step : steps) {
       newest = Math.max(newest, step.revision());
       if (step.baseRevision() == reached.revision()) {
-        reached = applied(reached, step);
+        reached = applyDelta(reached, step);
       }
     }
     if (adopt(reached, RevisionSource.PEER, Optional.of(from), actions)) {
       push(reached.revision(), RELAY_FAN_OUT, view, Optional.of(from), actions);
     }
     if (newest > current.revision()) {
-      request(from, newest, nowMillis, actions);
+      requestRevision(from, newest, nowMillis, actions);
     }
   }
 
-  private static Configuration applied(Configuration base, RevisionDelta step) {
+  private static Configuration applyDelta(Configuration base, RevisionDelta step) {
     Configuration made =
         ConfigurationEditor.applyUnchecked(base, step.operations(), step.revision());
     return ConfigurationChecksum.of(made) == step.checksum() ? made : base;
   }
 
-  private void takeFull(
+  private void applyFull(
       DaemonId from, RevisionFullMessage full, MembershipView view, List<FollowerAction> actions) {
     if (full.revision() <= current.revision()) {
       return;
@@ -222,19 +222,20 @@
                 push(configuration.revision(), RELAY_FAN_OUT, view, Optional.of(from), actions));
   }
 
-  private void compare(DaemonId from, long revision, long nowMillis, List<FollowerAction> actions) {
+  private void compareRevisions(
+      DaemonId from, long revision, long nowMillis, List<FollowerAction> actions) {
     if (revision > current.revision()) {
-      request(from, revision, nowMillis, actions);
+      requestRevision(from, revision, nowMillis, actions);
     } else {
-      bringUpToDate(from, revision, actions);
+      sendNewerRevisions(from, revision, actions);
     }
   }
 
-  private void bringUpToDate(DaemonId peer, long have, List<FollowerAction> actions) {
-    if (have >= current.revision()) {
+  private void sendNewerRevisions(DaemonId peer, long peerRevision, List<FollowerAction> actions) {
+    if (peerRevision >= current.revision()) {
       return;
     }
-    List<RevisionDelta> steps = deltas.since(have);
+    List<RevisionDelta> steps = deltas.since(peerRevision);
     PeerMessage message =
         steps.isEmpty()
             ? new RevisionFullMessage(current.revision(), packer.pack(current))
@@ -242,12 +243,13 @@
     actions.add(new FollowerAction.Send(peer, message));
   }
 
-  private void request(DaemonId from, long revision, long nowMillis, List<FollowerAction> actions) {
+  private void requestRevision(
+      DaemonId from, long revision, long nowMillis, List<FollowerAction> actions) {
     // Failure: several daemons announce one large revision at once and each sends it whole. It
     // shows as bursts on the link. Only one is asked, and another only after it had time to answer.
-    boolean asked =
-        requestedRevision >= revision && nowMillis - requestedMillis < REQUEST_PATIENCE_MILLIS;
-    if (asked) {
+    boolean alreadyRequested =
+        requestedRevision >= revision && nowMillis - requestedMillis < REQUEST_TIMEOUT_MILLIS;
+    if (alreadyRequested) {
       return;
     }
     requestedRevision = revision;
--- a/daemon/src/main/java/org/marjoramsail/daemon/configuration/ConfigurationService.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/configuration/ConfigurationService.java
@@ -232,7 +232,7 @@
       if (configuration.revision() < follower.current().revision()) {
         meters.counter("marjoramsail.configuration.older.dropped").increment();
       }
-      actions = follower.learned(configuration, source, membership.get());
+      actions = follower.receiveRevision(configuration, source, membership.get());
     }
     actions.forEach(this::perform);
   }
