--- a/core/src/main/java/org/marjoramsail/core/configuration/RevisionSurvey.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/RevisionSurvey.java
@@ -13,7 +13,7 @@
 public final class RevisionSurvey {
 
   private final long revision;
-  private final Map<DaemonId, Optional<Long>> answers = new TreeMap<>();
+  private final Map<DaemonId, Optional<Long>> revisions = new TreeMap<>();
 
   /**
    * Begins a survey of the daemons that can be reached.
@@ -27,16 +27,16 @@
     view.members().stream()
         .filter(member -> member.state().isReachable())
         .map(Member::id)
-        .forEach(id -> answers.put(id, Optional.empty()));
-    answers.put(view.self().id(), Optional.of(own));
+        .forEach(id -> revisions.put(id, Optional.empty()));
+    revisions.put(view.self().id(), Optional.of(own));
   }
 
   /** The daemons that have not said that the revision is in force. */
   public List<DaemonId> outstanding() {
     List<DaemonId> outstanding = new ArrayList<>();
-    answers.forEach(
-        (daemon, answer) -> {
-          if (answer.isEmpty() || answer.get() < revision) {
+    revisions.forEach(
+        (daemon, received) -> {
+          if (received.isEmpty() || received.get() < revision) {
             outstanding.add(daemon);
           }
         });
@@ -44,18 +44,18 @@
   }
 
   /** Handles an answer; one of a daemon that was not asked does nothing. */
-  public void answered(DaemonId from, long answer) {
-    answers.computeIfPresent(
-        from, (daemon, earlier) -> Optional.of(Math.max(answer, earlier.orElse(0L))));
+  public void recordResponse(DaemonId from, long received) {
+    revisions.computeIfPresent(
+        from, (daemon, earlier) -> Optional.of(Math.max(received, earlier.orElse(0L))));
   }
 
   /** What is known so far. */
   public InForceReport report() {
     List<InForceReport.Lagging> lagging =
         outstanding().stream()
-            .map(daemon -> new InForceReport.Lagging(daemon.host(), answers.get(daemon)))
+            .map(daemon -> new InForceReport.Lagging(daemon.host(), revisions.get(daemon)))
             .toList();
-    int total = answers.size();
+    int total = revisions.size();
     return new InForceReport(revision, total - lagging.size(), total, lagging);
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/configuration/InForceQuestion.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/configuration/InForceQuestion.java
@@ -48,7 +48,7 @@
   void answered(DaemonId from, long revision) {
     boolean complete;
     synchronized (survey) {
-      survey.answered(from, revision);
+      survey.recordResponse(from, revision);
       complete = survey.report().isComplete();
     }
     if (complete) {
@@ -62,7 +62,7 @@
     }
     List<DaemonId> outstanding;
     synchronized (survey) {
-      survey.answered(self, own.getAsLong());
+      survey.recordResponse(self, own.getAsLong());
       outstanding = survey.outstanding();
     }
     if (outstanding.isEmpty()) {
