--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationFollower.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationFollower.java
@@ -155,7 +155,7 @@
     if (configuration.revision() <= current.revision()) {
       return false;
     }
-    deltas.step(current, configuration);
+    deltas.recordStep(current, configuration);
     current = configuration;
     source = from;
     actions.add(new FollowerAction.Apply(configuration, from, peer));
@@ -235,7 +235,7 @@
     if (peerRevision >= current.revision()) {
       return;
     }
-    List<RevisionDelta> steps = deltas.since(peerRevision);
+    List<RevisionDelta> steps = deltas.deltasSince(peerRevision);
     PeerMessage message =
         steps.isEmpty()
             ? new RevisionFullMessage(current.revision(), packer.pack(current))
--- a/core/src/main/java/org/marjoramsail/core/configuration/RecentDeltas.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/RecentDeltas.java
@@ -11,20 +11,20 @@
 /** The latest steps of one daemon from revision to revision, bounded in number and size. */
 final class RecentDeltas {
 
-  private static final int MOST_DELTAS = 64;
-  private static final int MOST_OPERATIONS = 64;
+  private static final int MAXIMUM_DELTAS = 64;
+  private static final int MAXIMUM_OPERATIONS = 64;
 
   private final Deque<RevisionDelta> deltas = new ArrayDeque<>();
 
   /** Remembers a step; one that no delta can express makes older ones useless. */
-  void step(Configuration before, Configuration after) {
+  void recordStep(Configuration before, Configuration after) {
     Optional<RevisionDelta> delta = deltaBetween(before, after);
     if (delta.isEmpty()) {
       deltas.clear();
       return;
     }
     deltas.addLast(delta.get());
-    if (deltas.size() > MOST_DELTAS) {
+    if (deltas.size() > MAXIMUM_DELTAS) {
       deltas.removeFirst();
     }
   }
@@ -35,14 +35,14 @@
   }
 
   /** The steps from a revision to the newest; empty when they are too many or not known. */
-  List<RevisionDelta> since(long revision) {
+  List<RevisionDelta> deltasSince(long revision) {
     List<RevisionDelta> path = new ArrayList<>();
     int operations = 0;
     Iterator<RevisionDelta> newestFirst = deltas.descendingIterator();
     while (newestFirst.hasNext()) {
       RevisionDelta delta = newestFirst.next();
       operations += delta.operations().size();
-      if (operations > MOST_OPERATIONS) {
+      if (operations > MAXIMUM_OPERATIONS) {
         return List.of();
       }
       path.add(delta);
@@ -60,7 +60,7 @@
     }
     List<ConfigurationOperation> operations =
         ConfigurationDifference.between(before, after).operations();
-    if (operations.size() > MOST_OPERATIONS) {
+    if (operations.size() > MAXIMUM_OPERATIONS) {
       return Optional.empty();
     }
     Configuration rebuilt =
