--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationChecks.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationChecks.java
@@ -23,8 +23,8 @@
           "((25[0-5]|2[0-4]\\d|1?\\d?\\d)(\\.(?!$)|$)){4}|[0-9a-fA-F:]*:[0-9a-fA-F:.]*");
   private static final Pattern TOKEN_HASH = Pattern.compile("[0-9a-f]{64}");
   private static final int HIGHEST_PORT = 65_535;
-  private static final int MOST_SLOTS = 4_096;
-  private static final long LONGEST_TARGET_MILLIS = 7L * 24 * 60 * 60 * 1000;
+  private static final int MAXIMUM_SLOTS = 4_096;
+  private static final long MAXIMUM_TARGET_MILLIS = 7L * 24 * 60 * 60 * 1000;
 
   private final Configuration configuration;
   private final Map<ObjectKind, Set<String>> names = new HashMap<>();
@@ -34,7 +34,7 @@
     this.configuration = configuration;
   }
 
-  /** Every problem of a configuration; empty when it is sound. */
+  /** Every problem of a configuration; empty when it is valid. */
   static List<ConfigurationProblem> problemsOf(Configuration configuration) {
     ConfigurationChecks checks = new ConfigurationChecks(configuration);
     for (ObjectKind kind : ObjectKind.values()) {
@@ -80,7 +80,7 @@
           "the name of a model, since its kind is MODEL",
           Optional.empty());
     }
-    service.model().ifPresent(model -> reference(service, "model", ObjectKind.MODEL, model));
+    service.model().ifPresent(model -> requireExisting(service, "model", ObjectKind.MODEL, model));
   }
 
   private void checkModel(ModelDefinition model) {
@@ -98,14 +98,14 @@
   }
 
   private void checkUpstream(UpstreamDefinition upstream) {
-    reference(upstream, "service", ObjectKind.SERVICE, upstream.service());
+    requireExisting(upstream, "service", ObjectKind.SERVICE, upstream.service());
     configuration
         .service(upstream.service())
         .ifPresent(service -> checkRole(upstream, service.kind()));
     String address = upstream.address();
     require(ADDRESS.matcher(address).matches(), upstream, "address", address, "an IP number");
     requireBetween(upstream, "port", upstream.port(), 1, HIGHEST_PORT);
-    requireBetween(upstream, "slots", upstream.slots(), 1, MOST_SLOTS);
+    requireBetween(upstream, "slots", upstream.slots(), 1, MAXIMUM_SLOTS);
     requireName(upstream, "availabilityZone", upstream.availabilityZone());
     requireName(upstream, "region", upstream.region());
   }
@@ -113,24 +113,24 @@
   private void checkRole(UpstreamDefinition upstream, ServiceKind kind) {
     boolean plain = upstream.role() == UpstreamRole.PLAIN;
     String allowed = kind == ServiceKind.PLAIN ? "PLAIN" : "PREFILL or DECODE";
-    boolean fitting = plain == (kind == ServiceKind.PLAIN);
-    require(fitting, upstream, "role", upstream.role().name(), allowed + " for its service");
+    boolean matches = plain == (kind == ServiceKind.PLAIN);
+    require(matches, upstream, "role", upstream.role().name(), allowed + " for its service");
   }
 
   private void checkAddresses() {
     Map<String, UpstreamDefinition> seen = new HashMap<>();
     for (UpstreamDefinition upstream : configuration.upstreams()) {
-      String place = upstream.address() + " port " + upstream.port();
-      UpstreamDefinition other = seen.putIfAbsent(place, upstream);
+      String endpoint = upstream.address() + " port " + upstream.port();
+      UpstreamDefinition other = seen.putIfAbsent(endpoint, upstream);
       if (other != null) {
         String allowed = "an address that no other upstream has; " + other.key() + " has it";
-        add(Kind.DUPLICATE, upstream, "address", place, allowed, Optional.empty());
+        add(Kind.DUPLICATE, upstream, "address", endpoint, allowed, Optional.empty());
       }
     }
   }
 
   private void checkRule(RuleDefinition rule) {
-    reference(rule, "service", ObjectKind.SERVICE, rule.service());
+    requireExisting(rule, "service", ObjectKind.SERVICE, rule.service());
     rule.pathPrefix()
         .ifPresent(
             prefix ->
@@ -152,11 +152,11 @@
 
   private void checkOrganisation(OrganisationDefinition organisation) {
     for (String hash : organisation.tokenHashes()) {
-      boolean sound = TOKEN_HASH.matcher(hash).matches();
-      require(sound, organisation, "tokenHashes", hash, "64 hexadecimal digits in lower case");
+      boolean valid = TOKEN_HASH.matcher(hash).matches();
+      require(valid, organisation, "tokenHashes", hash, "64 hexadecimal digits in lower case");
     }
     for (String service : organisation.services()) {
-      reference(organisation, "services", ObjectKind.SERVICE, service);
+      requireExisting(organisation, "services", ObjectKind.SERVICE, service);
     }
     requirePositive(organisation, "weight", organisation.weight());
     requirePositive(organisation, "requestsPerSecond", organisation.requestsPerSecond());
@@ -164,7 +164,7 @@
     requireAtLeast(organisation, "maximumConcurrency", organisation.maximumConcurrency(), 1);
   }
 
-  private void reference(
+  private void requireExisting(
       ConfigurationObject object, String field, ObjectKind kind, String referenced) {
     Set<String> known = names.getOrDefault(kind, Set.of());
     if (!known.contains(referenced)) {
@@ -179,7 +179,7 @@
   }
 
   private void requireTarget(ConfigurationObject object, String field, long millis) {
-    requireBetween(object, field, millis, 1, LONGEST_TARGET_MILLIS);
+    requireBetween(object, field, millis, 1, MAXIMUM_TARGET_MILLIS);
   }
 
   private void requireAtLeast(ConfigurationObject object, String field, long value, long least) {
@@ -188,18 +188,18 @@
 
   private void requireBetween(
       ConfigurationObject object, String field, long value, long least, long most) {
-    boolean sound = value >= least && value <= most;
-    require(sound, object, field, Long.toString(value), "from " + least + " to " + most);
+    boolean valid = value >= least && value <= most;
+    require(valid, object, field, Long.toString(value), "from " + least + " to " + most);
   }
 
   private void requirePositive(ConfigurationObject object, String field, double value) {
-    boolean sound = value > 0 && Double.isFinite(value);
-    require(sound, object, field, Double.toString(value), "a number more than 0");
+    boolean valid = value > 0 && Double.isFinite(value);
+    require(valid, object, field, Double.toString(value), "a number more than 0");
   }
 
   private void require(
-      boolean sound, ConfigurationObject object, String field, String value, String allowed) {
-    if (!sound) {
+      boolean valid, ConfigurationObject object, String field, String value, String allowed) {
+    if (!valid) {
       add(Kind.BAD_VALUE, object, field, value, allowed, Optional.empty());
     }
   }
--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationDraft.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationDraft.java
@@ -12,7 +12,7 @@
       new EnumMap<>(ObjectKind.class);
 
   ConfigurationDraft(Configuration configuration) {
-    takeOver(configuration);
+    replaceAll(configuration);
   }
 
   void apply(ConfigurationOperation operation) {
@@ -22,21 +22,21 @@
     } else if (operation instanceof ConfigurationOperation.Delete delete) {
       objects.get(delete.key().kind()).remove(delete.key().name());
     } else if (operation instanceof ConfigurationOperation.Restore restore) {
-      takeOver(restore.configuration());
+      replaceAll(restore.configuration());
     }
   }
 
-  Configuration finish(long revision) {
+  Configuration build(long revision) {
     return new Configuration(
         revision,
-        all(ObjectKind.SERVICE, ServiceDefinition.class),
-        all(ObjectKind.MODEL, ModelDefinition.class),
-        all(ObjectKind.UPSTREAM, UpstreamDefinition.class),
-        all(ObjectKind.RULE, RuleDefinition.class),
-        all(ObjectKind.ORGANISATION, OrganisationDefinition.class));
+        objectsOf(ObjectKind.SERVICE, ServiceDefinition.class),
+        objectsOf(ObjectKind.MODEL, ModelDefinition.class),
+        objectsOf(ObjectKind.UPSTREAM, UpstreamDefinition.class),
+        objectsOf(ObjectKind.RULE, RuleDefinition.class),
+        objectsOf(ObjectKind.ORGANISATION, OrganisationDefinition.class));
   }
 
-  private void takeOver(Configuration configuration) {
+  private void replaceAll(Configuration configuration) {
     for (ObjectKind kind : ObjectKind.values()) {
       Map<String, ConfigurationObject> byName = new LinkedHashMap<>();
       for (ConfigurationObject object : kind.in(configuration)) {
@@ -46,7 +46,7 @@
     }
   }
 
-  private <T extends ConfigurationObject> List<T> all(ObjectKind kind, Class<T> type) {
+  private <T extends ConfigurationObject> List<T> objectsOf(ObjectKind kind, Class<T> type) {
     return objects.get(kind).values().stream().map(type::cast).toList();
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationEditor.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationEditor.java
@@ -31,7 +31,7 @@
             .map(operation -> ((ConfigurationOperation.Delete) operation).key())
             .collect(Collectors.toSet());
     ConfigurationChecks.problemsOf(edited).stream()
-        .map(problem -> namingDeletion(problem, deleted))
+        .map(problem -> explainDeletion(problem, deleted))
         .forEach(problems::add);
     return problems.isEmpty() ? new EditResult.Edited(edited) : new EditResult.Invalid(problems);
   }
@@ -43,7 +43,7 @@
     for (ConfigurationOperation operation : operations) {
       draft.apply(operation);
     }
-    return draft.finish(revision);
+    return draft.build(revision);
   }
 
   private static void checkOperations(
@@ -111,17 +111,17 @@
         .collect(Collectors.toSet());
   }
 
-  private static ConfigurationProblem namingDeletion(
+  private static ConfigurationProblem explainDeletion(
       ConfigurationProblem problem, Set<ObjectKey> deleted) {
     if (problem.kind() != Kind.UNKNOWN_REFERENCE) {
       return problem;
     }
-    Optional<ObjectKey> culprit =
+    Optional<ObjectKey> deletedObject =
         deleted.stream()
             .filter(key -> key.name().equals(problem.value()))
             .filter(key -> problem.allowed().contains(key.kind().code()))
             .findFirst();
-    return culprit
+    return deletedObject
         .map(
             key ->
                 new ConfigurationProblem(
