--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationFollower.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationFollower.java
@@ -129,7 +129,7 @@
   private void updateWatching(MembershipView view, List<FollowerAction> actions) {
     DaemonId self = view.self().id();
     boolean chosen =
-        WatchRanking.watchers(view, view.self().region()).stream()
+        WatcherSelection.select(view, view.self().region()).stream()
             .anyMatch(member -> member.id().equals(self));
     if (chosen != watching) {
       watching = chosen;
--- a/core/src/main/java/org/marjoramsail/core/configuration/FairWeights.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/FairWeights.java
@@ -15,11 +15,13 @@
    * the rates themselves the weights, such callers would get a hundred thousandth of the share of
    * any other, and hardly one of their requests would be served in a burst.
    */
-  public static List<OrganisationDefinition> byRates(List<OrganisationDefinition> organisations) {
+  public static List<OrganisationDefinition> withWeightsByRate(
+      List<OrganisationDefinition> organisations) {
     double meanTokens = mean(organisations, OrganisationDefinition::tokensPerSecond);
     double meanRequests = mean(organisations, OrganisationDefinition::requestsPerSecond);
     return organisations.stream()
-        .map(one -> one.withWeight(weight(one, meanTokens, meanRequests)))
+        .map(
+            organisation -> organisation.withWeight(weight(organisation, meanTokens, meanRequests)))
         .toList();
   }
 
@@ -35,6 +37,6 @@
 
   private static double mean(
       List<OrganisationDefinition> organisations, ToDoubleFunction<OrganisationDefinition> rate) {
-    return organisations.stream().mapToDouble(rate).filter(one -> one > 0).average().orElse(1);
+    return organisations.stream().mapToDouble(rate).filter(value -> value > 0).average().orElse(1);
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/configuration/NearestName.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/NearestName.java
@@ -7,16 +7,16 @@
 /** Finds the name that an operator most likely meant, by edit distance. */
 final class NearestName {
 
-  private static final int TOLERATED_SHARE = 3;
+  private static final int LETTERS_PER_EDIT = 3;
 
   private NearestName() {}
 
   /** The candidate with the fewest edits, if at most about a third of the name is wrong. */
   static Optional<String> of(String name, Collection<String> candidates) {
-    int tolerated = Math.max(2, name.length() / TOLERATED_SHARE);
+    int maximumEdits = Math.max(2, name.length() / LETTERS_PER_EDIT);
     return candidates.stream()
-        .filter(candidate -> Math.abs(candidate.length() - name.length()) <= tolerated)
-        .filter(candidate -> distance(name, candidate) <= tolerated)
+        .filter(candidate -> Math.abs(candidate.length() - name.length()) <= maximumEdits)
+        .filter(candidate -> distance(name, candidate) <= maximumEdits)
         .min(
             Comparator.<String>comparingInt(candidate -> distance(name, candidate))
                 .thenComparing(Comparator.naturalOrder()));
--- a/core/src/main/java/org/marjoramsail/core/configuration/WatchRanking.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/WatcherSelection.java
@@ -8,17 +8,17 @@
 import org.marjoramsail.core.membership.MembershipView;
 
 /** Chooses the daemons of a region that watch the store, the same on each daemon. */
-final class WatchRanking {
+final class WatcherSelection {
 
-  private WatchRanking() {}
+  private WatcherSelection() {}
 
   /**
    * The daemons of a region that should watch: the lowest by rank, and the lowest of another
    * availability zone where there is one, so that one zone cut off from the store stops neither.
    */
-  static List<Member> watchers(MembershipView view, String region) {
+  static List<Member> select(MembershipView view, String region) {
     List<Member> ranked = new ArrayList<>(view.eligibleInRegion(region));
-    ranked.sort(Comparator.comparingLong(WatchRanking::rank).thenComparing(Member::id));
+    ranked.sort(Comparator.comparingLong(WatcherSelection::rank).thenComparing(Member::id));
     if (ranked.size() <= 2) {
       return ranked;
     }
--- a/core/src/test/java/org/marjoramsail/core/configuration/FairWeightsTest.java
+++ b/core/src/test/java/org/marjoramsail/core/configuration/FairWeightsTest.java
@@ -15,7 +15,7 @@
   @Test
   void organisationsWithoutARateCountLikeTheMeanOfTheOthers() {
     List<OrganisationDefinition> weighted =
-        FairWeights.byRates(
+        FairWeights.withWeightsByRate(
             List.of(tokens("large", 150_000), tokens("small", 50_000), tokens("none", 0)));
 
     assertThat(weighted).extracting(OrganisationDefinition::weight).containsExactly(1.5, 0.5, 1.0);
@@ -26,7 +26,7 @@
     OrganisationDefinition counted =
         new OrganisationDefinition("counted", List.of(), List.of(), 1, 0, 20, 0);
 
-    assertThat(FairWeights.byRates(List.of(counted, tokens("large", 150_000))))
+    assertThat(FairWeights.withWeightsByRate(List.of(counted, tokens("large", 150_000))))
         .extracting(OrganisationDefinition::weight)
         .containsExactly(1.0, 1.0);
   }
