--- a/core/src/main/java/org/marjoramsail/core/routing/ForwardingRules.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/ForwardingRules.java
@@ -29,16 +29,16 @@
   private static final long EVENT_STALL_MILLIS = 1_200;
 
   /** A plain answer that takes this share of its target is looked for elsewhere. */
-  private static final double ANSWER_STALL_SHARE = 0.7;
+  private static final double RESPONSE_STALL_SHARE = 0.7;
 
   /** Callers leave a silent stream after at least that long, in milliseconds. */
-  private static final long LEAST_PATIENCE_MILLIS = 2_000;
+  private static final long MINIMUM_CALLER_TIMEOUT_MILLIS = 2_000;
 
-  private static final int TARGETS_OF_PATIENCE = 4;
-  private static final int GAPS_OF_PATIENCE = 8;
+  private static final int CALLER_TIMEOUT_TARGETS = 4;
+  private static final int CALLER_TIMEOUT_GAP_TARGETS = 8;
 
   /** A place that is found this shortly before callers leave is of no use, in milliseconds. */
-  private static final long PATIENCE_MARGIN_MILLIS = 500;
+  private static final long CALLER_TIMEOUT_MARGIN_MILLIS = 500;
 
   /** What lies between a place and the first byte at the caller, in milliseconds. */
   private static final long STREAM_MARGIN_MILLIS = 130;
@@ -65,8 +65,9 @@
         PREFILL_STALL_MILLIS,
         EVENT_STALL_MILLIS,
         Math.max(1, route.maximumSends()),
-        Math.max(Math.max(1, overdueMillis), Math.round(route.targetMillis() * ANSWER_STALL_SHARE)),
-        patienceMillis(route));
+        Math.max(
+            Math.max(1, overdueMillis), Math.round(route.targetMillis() * RESPONSE_STALL_SHARE)),
+        callerTimeoutMillis(route));
   }
 
   /** When a request has to have its last answer: the caller's time or the route's, if sooner. */
@@ -84,12 +85,13 @@
     return receivedAtMillis + Math.max(1, route.targetMillis() - marginMillis);
   }
 
-  private static long patienceMillis(Route route) {
+  private static long callerTimeoutMillis(Route route) {
     if (!route.streaming()) {
       return NEVER_MILLIS;
     }
-    long byTarget = TARGETS_OF_PATIENCE * route.targetMillis();
-    long byGap = GAPS_OF_PATIENCE * route.gapTargetMillis();
-    return Math.max(LEAST_PATIENCE_MILLIS, Math.max(byTarget, byGap)) - PATIENCE_MARGIN_MILLIS;
+    long targetTimeoutMillis = CALLER_TIMEOUT_TARGETS * route.targetMillis();
+    long gapTimeoutMillis = CALLER_TIMEOUT_GAP_TARGETS * route.gapTargetMillis();
+    return Math.max(MINIMUM_CALLER_TIMEOUT_MILLIS, Math.max(targetTimeoutMillis, gapTimeoutMillis))
+        - CALLER_TIMEOUT_MARGIN_MILLIS;
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/routing/PlainResponseTimes.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/PlainResponseTimes.java
@@ -13,10 +13,10 @@
  */
 public final class PlainResponseTimes {
 
-  private static final double LEARNING = 0.1;
+  private static final double SMOOTHING_FACTOR = 0.1;
 
   /** An answer is overdue after so many times the mean. */
-  private static final int OVERDUE_TIMES = 3;
+  private static final int OVERDUE_FACTOR = 3;
 
   private final Map<String, Double> meanMillis = new HashMap<>();
 
@@ -25,11 +25,12 @@
 
   /** Learns from an answer. */
   public void update(String service, long tookMillis) {
-    meanMillis.merge(service, (double) tookMillis, (mean, took) -> mean + LEARNING * (took - mean));
+    meanMillis.merge(
+        service, (double) tookMillis, (mean, took) -> mean + SMOOTHING_FACTOR * (took - mean));
   }
 
   /** After how long an answer of a service is overdue, in milliseconds; zero if unknown. */
   public long overdueMillis(String service) {
-    return Math.round(OVERDUE_TIMES * meanMillis.getOrDefault(service, 0.0));
+    return Math.round(OVERDUE_FACTOR * meanMillis.getOrDefault(service, 0.0));
   }
 }
