--- a/core/src/main/java/org/marjoramsail/core/routing/HostRoutes.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/HostRoutes.java
@@ -30,7 +30,7 @@
     if (!prefix.isEmpty() && prefix.charAt(prefix.length() - 1) == SLASH) {
       bySegments.putIfAbsent(prefix, route);
       longestPrefix = Math.max(longestPrefix, prefix.length());
-    } else if (others.stream().noneMatch(known -> known.pathPrefix().equals(prefix))) {
+    } else if (others.stream().noneMatch(existing -> existing.pathPrefix().equals(prefix))) {
       others.add(route);
     }
   }
--- a/core/src/main/java/org/marjoramsail/core/routing/PoolConfiguration.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/PoolConfiguration.java
@@ -18,7 +18,7 @@
    * was left alone with all of a service stood idle for a third of its time meanwhile, while most
    * requests were refused. Engines get none: what they hold beyond is preempted.
    */
-  private static final int QUEUED_SHARE = 3;
+  private static final int SLOTS_PER_QUEUED_REQUEST = 3;
 
   private PoolConfiguration() {}
 
@@ -37,29 +37,30 @@
       ServiceKind kind = service.engines().isPresent() ? ServiceKind.MODEL : ServiceKind.PLAIN;
       services.add(
           new ServiceDefinition(
-              service.name(), kind, service.engines().map(facts -> service.name())));
+              service.name(), kind, service.engines().map(profile -> service.name())));
       service
           .engines()
           .ifPresent(
-              facts ->
+              profile ->
                   models.add(
                       new ModelDefinition(
-                          service.name(), "listed", List.of(), facts.kvBytesPerToken())));
+                          service.name(), "listed", List.of(), profile.kvBytesPerToken())));
     }
-    List<UpstreamDefinition> known = new ArrayList<>();
+    List<UpstreamDefinition> routedUpstreams = new ArrayList<>();
     for (UpstreamDefinition upstream : upstreams) {
       routing
           .service(upstream.service())
-          .ifPresent(service -> known.add(withMemory(upstream, service.engines())));
+          .ifPresent(service -> routedUpstreams.add(withCapacityOf(upstream, service.engines())));
     }
-    return new Configuration(revision, services, models, known, List.of(), routing.organisations());
+    return new Configuration(
+        revision, services, models, routedUpstreams, List.of(), routing.organisations());
   }
 
-  private static UpstreamDefinition withMemory(
-      UpstreamDefinition upstream, Optional<EngineProfile> facts) {
+  private static UpstreamDefinition withCapacityOf(
+      UpstreamDefinition upstream, Optional<EngineProfile> profile) {
     int slots = upstream.slots();
     return upstream.withCapacity(
-        facts.isPresent() ? slots : slots + slots / QUEUED_SHARE,
-        facts.map(EngineProfile::memoryTokens));
+        profile.isPresent() ? slots : slots + slots / SLOTS_PER_QUEUED_REQUEST,
+        profile.map(EngineProfile::memoryTokens));
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/routing/Route.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/Route.java
@@ -69,15 +69,15 @@
   /**
    * The service of one request.
    *
-   * @param draw any number, the same for the same request: a hash of its identifier
+   * @param requestHash any number, the same for the same request: a hash of its identifier
    */
-  public String serviceFor(long draw) {
+  public String serviceFor(long requestHash) {
     int sum = services.stream().mapToInt(WeightedService::weight).sum();
-    long left = sum <= 0 ? 0 : Math.floorMod(draw, (long) sum);
-    for (WeightedService choice : services) {
-      left -= choice.weight();
-      if (left < 0) {
-        return choice.service();
+    long remainder = sum <= 0 ? 0 : Math.floorMod(requestHash, (long) sum);
+    for (WeightedService candidate : services) {
+      remainder -= candidate.weight();
+      if (remainder < 0) {
+        return candidate.service();
       }
     }
     return services.get(0).service();
--- a/core/src/main/java/org/marjoramsail/core/routing/RoutingConfiguration.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/RoutingConfiguration.java
@@ -36,9 +36,9 @@
   }
 
   /** The same with organisations, whose callers alone may use it. */
-  public RoutingConfiguration withOrganisations(List<OrganisationDefinition> newer) {
+  public RoutingConfiguration withOrganisations(List<OrganisationDefinition> replacements) {
     return new RoutingConfiguration(
-        version, routes, services, limits, newer, new OrganisationKeys(newer));
+        version, routes, services, limits, replacements, new OrganisationKeys(replacements));
   }
 
   /** Whether callers have to show a key. */
