--- a/core/src/test/java/org/marjoramsail/core/routing/CallerAccessTest.java
+++ b/core/src/test/java/org/marjoramsail/core/routing/CallerAccessTest.java
@@ -17,7 +17,7 @@
       configuration(List.of(organisation("a", "k1", "k2"), organisation("b", "k3", "k2")));
 
   @Test
-  void aKeyTellsTheOrganisation() {
+  void aKeyIdentifiesItsOrganisation() {
     assertThat(organisationOf(CallerAccess.of(KEYED, route(false), Optional.of("k1"))))
         .contains("a");
     assertThat(organisationOf(CallerAccess.of(KEYED, route(false), Optional.of("k3"))))
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void withoutAKeyOnlyAnonymousRoutesAreOpen() {
+  void withoutAKeyOnlyAnonymousRoutesAreAllowed() {
     assertThat(reasonOf(CallerAccess.of(KEYED, route(false), Optional.empty())))
         .contains(RefusalReason.UNAUTHENTICATED);
     CallerAccess anonymous = CallerAccess.of(KEYED, route(true), Optional.empty());
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void aKeyThatNobodyHoldsIsRefusedOnEveryRoute() {
+  void anUnknownKeyIsRefusedOnEveryRoute() {
     for (String wrong : List.of("", " ", "k", "k11", "K1", "Bearer k1", "k1,k1", "k\u00e9")) {
       assertThat(reasonOf(CallerAccess.of(KEYED, route(false), Optional.of(wrong))))
           .contains(RefusalReason.UNAUTHENTICATED);
@@ -44,14 +44,14 @@
   }
 
   @Test
-  void ofTwoOrganisationsWithOneKeyTheFirstHoldsIt() {
+  void aKeyOfTwoOrganisationsBelongsToTheFirst() {
     assertThat(organisationOf(CallerAccess.of(KEYED, route(false), Optional.of("k2"))))
         .contains("a");
     assertThat(KEYED.keys().organisationsWithDuplicateKeys()).containsExactly("b");
   }
 
   @Test
-  void aRefusalDoesNotTellTheKey() {
+  void aRefusalDoesNotContainTheKey() {
     Optional<Refusal> refusal =
         CallerAccess.of(KEYED, route(false), Optional.of("a-secret")).refusal();
 
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void whereThereAreNoOrganisationsAnybodyMayCall() {
+  void withoutOrganisationsEveryCallerIsAllowed() {
     CallerAccess open = CallerAccess.of(configuration(List.of()), route(false), Optional.of("k9"));
 
     assertThat(open.refusal()).isEmpty();
--- a/core/src/test/java/org/marjoramsail/core/routing/OutputForecastTest.java
+++ b/core/src/test/java/org/marjoramsail/core/routing/OutputForecastTest.java
@@ -10,13 +10,13 @@
   private final OutputForecast forecast = new OutputForecast();
 
   @Test
-  void withoutKnowledgeAShareOfTheMostIsExpected() {
+  void withoutDataTheEstimateIsAShareOfTheMaximum() {
     assertThat(forecast.expectedTokens("r", 1_000, OptionalInt.empty())).isEqualTo(450);
   }
 
   @Test
-  void theMeanOfTheRouteIsLearned() {
-    for (int answer = 0; answer < 200; answer++) {
+  void theEstimateConvergesToTheMeanOfTheRoute() {
+    for (int output = 0; output < 200; output++) {
       forecast.update("r", 1_000, 800);
     }
     assertThat(forecast.expectedTokens("r", 1_000, OptionalInt.empty())).isBetween(798, 800);
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void aCallersEstimateIsPulledTowardsTheMeanAndNeverExceedsTheMost() {
+  void aCallersEstimateIsBlendedWithTheMeanAndCappedAtTheMaximum() {
     assertThat(forecast.expectedTokens("r", 1_000, OptionalInt.of(100))).isEqualTo(310);
     assertThat(forecast.expectedTokens("r", 1_000, OptionalInt.of(1_000_000))).isEqualTo(1_000);
   }
--- a/core/src/test/java/org/marjoramsail/core/routing/PlainResponseTimesTest.java
+++ b/core/src/test/java/org/marjoramsail/core/routing/PlainResponseTimesTest.java
@@ -25,7 +25,7 @@
   private final PlainResponseTimes times = new PlainResponseTimes();
 
   @Test
-  void anAnswerOfAQuickServiceIsLookedForElsewhereBeforeItsTarget() {
+  void aRequestToAFastServiceIsRetriedElsewhereBeforeItsTarget() {
     times.update("desk", 50);
     assertThat(ForwardingRules.policyOf(ROUTE, times.overdueMillis("desk")).responseStallMillis())
         .isEqualTo(280);
@@ -36,8 +36,8 @@
    * 270 ms and asked again, so that none was answered and the server was busy for nothing.
    */
   @Test
-  void answersOfAServiceThatIsSlowByNowAreWaitedFor() {
-    for (int answer = 0; answer < 50; answer++) {
+  void aRequestToAServiceThatHasBecomeSlowIsNotAbandonedEarly() {
+    for (int response = 0; response < 50; response++) {
       times.update("desk", 350);
     }
     assertThat(ForwardingRules.policyOf(ROUTE, times.overdueMillis("desk")).responseStallMillis())
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void servicesAreLearnedApart() {
+  void responseTimesAreTrackedPerService() {
     times.update("other", 1_000);
     assertThat(times.overdueMillis("desk")).isZero();
   }
--- a/core/src/test/java/org/marjoramsail/core/routing/PoolConfigurationTest.java
+++ b/core/src/test/java/org/marjoramsail/core/routing/PoolConfigurationTest.java
@@ -42,19 +42,19 @@
    * an answer and the owner's next grant, while most requests were refused.
    */
   @Test
-  void aPlainServerIsGivenALittleMoreThanItRunsAndAnEngineIsNot() {
+  void aPlainServerGetsExtraQueuedRequestsAndAnEngineDoesNot() {
     assertThat(pools.upstreamsOf("desk").get(0).slots()).isEqualTo(8);
     assertThat(pools.upstreamsOf("engines").get(0).slots()).isEqualTo(6);
   }
 
   @Test
-  void enginesHaveTheMemoryOfTheirService() {
+  void enginesGetTheMemoryOfTheirServiceProfile() {
     assertThat(pools.upstreamsOf("engines").get(0).memoryTokens()).contains(30_000);
     assertThat(pools.upstreamsOf("desk").get(0).memoryTokens()).isEmpty();
   }
 
   @Test
-  void upstreamsOfUnknownServicesAreLeftOut() {
+  void upstreamsOfUnknownServicesAreOmitted() {
     assertThat(pools.upstreamsOf("elsewhere")).isEmpty();
   }
 
--- a/core/src/test/java/org/marjoramsail/core/routing/RouteTableTest.java
+++ b/core/src/test/java/org/marjoramsail/core/routing/RouteTableTest.java
@@ -25,18 +25,18 @@
               route("other", "other.example", "/a/", 1, 0)));
 
   @Test
-  void theLongestPrefixOfTheHostIsTaken() {
+  void theLongestMatchingPrefixOfTheHostWins() {
     assertThat(table.find("desk.example", "/a/b/c").orElseThrow().name()).isEqualTo("narrow");
     assertThat(table.find("desk.example", "/a/bc").orElseThrow().name()).isEqualTo("wide");
   }
 
   @Test
-  void hostsDifferWhileTheirCaseAndPortDoNotMatter() {
+  void hostsAreMatchedIgnoringCaseAndPort() {
     assertThat(table.find("OTHER.example:8080", "/a/b/").orElseThrow().name()).isEqualTo("other");
   }
 
   @Test
-  void aPathWithoutAPrefixHasNoRoute() {
+  void aPathThatMatchesNoPrefixHasNoRoute() {
     assertThat(table.find("desk.example", "/ab")).isEmpty();
     assertThat(table.find("nobody.example", "/a/")).isEmpty();
   }
@@ -45,32 +45,32 @@
   void weightsDivideTheRequestsOfARoute() {
     Route split = table.find("desk.example", "/a/b/").orElseThrow();
     int first = 0;
-    for (long draw = 0; draw < 1_000; draw++) {
-      first += split.serviceFor(draw).equals("first") ? 1 : 0;
+    for (long requestHash = 0; requestHash < 1_000; requestHash++) {
+      first += split.serviceFor(requestHash).equals("first") ? 1 : 0;
     }
     assertThat(first).isEqualTo(900);
     assertThat(split.serviceFor(-1)).isEqualTo("second");
   }
 
   @Test
-  void ofTwoRoutesWithOnePrefixTheFirstCounts() {
-    RouteTable doubled =
+  void ofTwoRoutesWithTheSamePrefixTheFirstWins() {
+    RouteTable duplicated =
         new RouteTable(
             List.of(route("first", "h", "/a/", 1, 0), route("second", "h", "/a/", 1, 0)));
 
-    assertThat(doubled.find("h", "/a/").orElseThrow().name()).isEqualTo("first");
+    assertThat(duplicated.find("h", "/a/").orElseThrow().name()).isEqualTo("first");
   }
 
   /** The lookup by segments against what it stands for: a walk over all routes. */
   @Property(seed = "2301", tries = 2_000)
-  void theLookupAgreesWithAWalkOverAllRoutes(
+  void theLookupAgreesWithALinearScanOfAllRoutes(
       @ForAll("prefixes") @Size(max = 12) List<String> prefixes, @ForAll("paths") String path) {
     List<Route> routes = new ArrayList<>();
     for (String prefix : prefixes) {
       routes.add(route("route-" + routes.size(), "h", prefix, 1, 0));
     }
 
-    Optional<String> walked =
+    Optional<String> scanned =
         routes.stream()
             .filter(route -> path.startsWith(route.pathPrefix()))
             .max(
@@ -78,7 +78,7 @@
                     .thenComparing(routes::indexOf, Comparator.reverseOrder()))
             .map(Route::name);
 
-    assertThat(new RouteTable(routes).find("h", path).map(Route::name)).isEqualTo(walked);
+    assertThat(new RouteTable(routes).find("h", path).map(Route::name)).isEqualTo(scanned);
   }
 
   @Provide
