--- a/core/src/main/java/org/marjoramsail/core/routing/CallerAccess.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/CallerAccess.java
@@ -6,17 +6,17 @@
 import org.marjoramsail.core.failure.RefusalReason;
 
 /**
- * Whether a caller may use a route, and for which organisation.
+ * Result of authorising a caller for a route.
  *
- * @param organisation whose caller it is; empty where callers need no key and it shows none
- * @param refusal why it may not
+ * @param organisation the organisation of the caller; empty for an anonymous caller
+ * @param refusal the reason why the caller may not use the route; empty if it may
  */
 public record CallerAccess(
     Optional<OrganisationDefinition> organisation, Optional<Refusal> refusal) {
 
   /**
-   * Decides by the key that a caller shows. A key that no organisation holds is refused on every
-   * route: its caller means to be known, and would be served as somebody else.
+   * Authorises a caller by its key. An unknown key is refused on anonymous routes too: the caller
+   * expects to be served as its organisation and must not be served as an anonymous caller instead.
    */
   public static CallerAccess of(RoutingConfiguration routing, Route route, Optional<String> key) {
     if (!routing.isKeyed()) {
@@ -25,12 +25,12 @@
     if (key.isEmpty()) {
       return route.anonymous()
           ? new CallerAccess(Optional.empty(), Optional.empty())
-          : denied("The request has no key, which route '" + route.name() + "' needs.");
+          : denied("The request has no key; route '" + route.name() + "' requires one.");
     }
     Optional<OrganisationDefinition> holder = routing.keys().holderOf(key.get());
     return holder.isPresent()
         ? new CallerAccess(holder, Optional.empty())
-        : denied("The key of the request is of no organisation.");
+        : denied("The key of the request belongs to no organisation.");
   }
 
   private static CallerAccess denied(String detail) {
--- a/core/src/main/java/org/marjoramsail/core/routing/CallerLimits.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/CallerLimits.java
@@ -1,11 +1,11 @@
 package org.marjoramsail.core.routing;
 
 /**
- * What a caller may send and how long it may take.
+ * Limits on the size and duration of a request and on idle connections.
  *
- * @param headerBytes the longest head of a request
- * @param bodyBytes the longest body of a request
- * @param headerMillis how long a head may take to come in
+ * @param headerBytes maximum size of the request line and headers
+ * @param bodyBytes maximum size of the request body
+ * @param headerMillis time limit for receiving the request line and headers
  * @param idleMillis how long a connection may stay without a request
  */
 public record CallerLimits(int headerBytes, long bodyBytes, long headerMillis, long idleMillis) {}
--- a/core/src/main/java/org/marjoramsail/core/routing/EngineProfile.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/EngineProfile.java
@@ -1,14 +1,14 @@
 package org.marjoramsail.core.routing;
 
 /**
- * What a service says of its model engines.
+ * Capacity and timing of the model engines of a service, as its configuration states them.
  *
- * @param slots how many requests one engine runs at once
- * @param memoryTokens how many tokens of KV cache one engine holds
+ * @param slots number of requests that one engine runs concurrently
+ * @param memoryTokens capacity of the KV cache of one engine, in tokens
  * @param kvBytesPerToken bytes of KV cache for each token
- * @param linkBytesPerMilli rate of the link of one engine, bytes a millisecond
- * @param tokensPerEvent how many tokens one event of a stream carries
- * @param handleMillis how long a KV cache lives after its prefill
+ * @param linkBytesPerMilli bandwidth of the network link of one engine, in bytes per millisecond
+ * @param tokensPerEvent number of tokens in one event of a stream
+ * @param handleMillis lifetime of a KV cache after its prefill
  * @param roleChangeMillis how long an engine takes to change its role
  */
 public record EngineProfile(
--- a/core/src/main/java/org/marjoramsail/core/routing/ForwardingRules.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/ForwardingRules.java
@@ -3,10 +3,10 @@
 import java.util.OptionalLong;
 import org.marjoramsail.core.outcome.LifecyclePolicy;
 
-/** Works out from a route how long its requests may wait and how often they may be sent. */
+/** Derives the retry limits, timeouts and deadlines of a request from its route. */
 public final class ForwardingRules {
 
-  /** Attempts that reach no upstream do not count as sends; they end here. */
+  /** Additional attempts for those that reach no upstream and so do not count as sends. */
   private static final int UNSENT_ATTEMPTS = 4;
 
   private static final long BACK_OFF_MILLIS = 5;
@@ -14,33 +14,40 @@
   private static final long CANCEL_REPEAT_MILLIS = 100;
   private static final long CANCEL_REPEAT_LIMIT_MILLIS = 400;
 
-  /** Nothing is held for a request longer than that: KV caches lapse sooner. */
+  /**
+   * Time after which a cancellation is no longer repeated. By then, upstreams hold nothing for the
+   * request, since KV caches expire earlier.
+   */
   private static final long CANCEL_GIVE_UP_MILLIS = 1_500;
 
-  /** How much of a KV cache's life has to remain for a send that fetches it, in milliseconds. */
+  /** Minimum remaining lifetime of a KV cache for a send that fetches it, in milliseconds. */
   private static final long KV_MARGIN_MILLIS = 80;
 
   private static final long PREFILL_STALL_MILLIS = 600;
 
   /**
-   * How long a stream that may go on elsewhere may be silent. Preempted streams pause for some
-   * hundred milliseconds and go on by themselves; callers leave after about two seconds.
+   * Time without an event after which a stream is continued on another upstream, if that is
+   * allowed. The time exceeds the pause of a preempted stream, which resumes by itself, and is
+   * shorter than the time after which callers disconnect.
    */
   private static final long EVENT_STALL_MILLIS = 1_200;
 
-  /** A plain answer that takes this share of its target is looked for elsewhere. */
+  /** Share of its target after which a plain response is requested from another upstream. */
   private static final double RESPONSE_STALL_SHARE = 0.7;
 
-  /** Callers leave a silent stream after at least that long, in milliseconds. */
+  /** Minimum time without an event after which callers disconnect, in milliseconds. */
   private static final long MINIMUM_CALLER_TIMEOUT_MILLIS = 2_000;
 
   private static final int CALLER_TIMEOUT_TARGETS = 4;
   private static final int CALLER_TIMEOUT_GAP_TARGETS = 8;
 
-  /** A place that is found this shortly before callers leave is of no use, in milliseconds. */
+  /**
+   * Margin before the expected disconnection of the caller, in milliseconds. A slot that is granted
+   * within it would be of no use.
+   */
   private static final long CALLER_TIMEOUT_MARGIN_MILLIS = 500;
 
-  /** What lies between a place and the first byte at the caller, in milliseconds. */
+  /** Time between the grant of a slot and the first byte at the caller, in milliseconds. */
   private static final long STREAM_MARGIN_MILLIS = 130;
 
   private static final double PLAIN_MARGIN_SHARE = 0.3;
@@ -49,9 +56,10 @@
   private ForwardingRules() {}
 
   /**
-   * Bounds of the tries and waits of one request.
+   * Returns the limits on the attempts and timeouts of one request.
    *
-   * @param overdueMillis after how long a plain answer is overdue by what its service takes of late
+   * @param overdueMillis time after which a plain response is overdue, judged by the recent
+   *     response times of its service
    */
   public static LifecyclePolicy policyOf(Route route, long overdueMillis) {
     return new LifecyclePolicy(
@@ -70,13 +78,13 @@
         callerTimeoutMillis(route));
   }
 
-  /** When a request has to have its last answer: the caller's time or the route's, if sooner. */
+  /** Returns the deadline of a request: the caller's time limit or the route's, if sooner. */
   public static long deadlineAtMillis(
       Route route, long receivedAtMillis, OptionalLong withinMillis) {
     return receivedAtMillis + Math.min(route.timeoutMillis(), withinMillis.orElse(NEVER_MILLIS));
   }
 
-  /** Until when a place has to be found for the answer to be in time. */
+  /** Returns the latest time at which a slot may be granted for the route's target to be met. */
   public static long targetAtMillis(Route route, long receivedAtMillis) {
     long marginMillis =
         route.streaming()
--- a/core/src/main/java/org/marjoramsail/core/routing/HostRoutes.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/HostRoutes.java
@@ -8,11 +8,11 @@
 import java.util.Optional;
 
 /**
- * The routes of one host.
+ * Index of the routes of one host by path prefix.
  *
- * <p>A configuration may hold thousands of routes, and each request looks one up. Prefixes that end
- * with a slash, as nearly all do, are looked up by the segments of the path, so that a request
- * costs as many steps as its path has segments and not as many as there are routes.
+ * <p>Prefixes that end with a slash are looked up in a map, once for each segment of the path. The
+ * cost of a lookup therefore grows with the number of segments and not with the number of routes,
+ * of which there may be thousands. Other prefixes are scanned.
  */
 final class HostRoutes {
 
@@ -24,7 +24,7 @@
   private final List<Route> others = new ArrayList<>();
   private int longestPrefix;
 
-  /** Adds a route, unless there is one with its prefix. */
+  /** Adds a route, unless a route with the same prefix exists. */
   void add(Route route) {
     String prefix = route.pathPrefix();
     if (!prefix.isEmpty() && prefix.charAt(prefix.length() - 1) == SLASH) {
@@ -35,7 +35,7 @@
     }
   }
 
-  /** The route with the longest prefix that begins the path. */
+  /** Returns the route with the longest prefix that matches the path. */
   Optional<Route> find(String path) {
     Optional<Route> found = findBySegments(path);
     if (others.isEmpty()) {
--- a/core/src/main/java/org/marjoramsail/core/routing/OutputForecast.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/OutputForecast.java
@@ -5,34 +5,34 @@
 import java.util.OptionalInt;
 
 /**
- * Foretells how many tokens a request will generate, from what its caller expects and from what
- * requests of its route came to.
+ * Predicts the number of tokens that a request will generate, from the caller's estimate and the
+ * mean output length of its route.
  *
- * <p>Callers' estimates are right at the median and often far off, so the mean of the route pulls
- * them together. Not safe for several threads.
+ * <p>Callers' estimates have a correct median and a large variance; blending them with the mean of
+ * the route reduces the variance. Not thread-safe.
  */
 public final class OutputForecast {
 
-  /** How much of the difference each answer corrects. */
+  /** Weight of the latest output in the moving average. */
   private static final double SMOOTHING_FACTOR = 0.05;
 
-  /** How much the caller's own estimate counts against the mean of the route. */
+  /** Weight of the caller's estimate; the rest is the weight of the mean of the route. */
   private static final double CALLER_SHARE = 0.4;
 
-  /** Where nothing is known, this share of the most that may be generated. */
+  /** Initial mean of a route, as a share of the maximum output length. */
   private static final double INITIAL_SHARE = 0.45;
 
   private final Map<String, Double> meanTokens = new HashMap<>();
 
-  /** Starts with nothing learned. */
+  /** Creates a forecast without any recorded outputs. */
   public OutputForecast() {}
 
   /**
-   * How many tokens to expect.
+   * Returns the predicted output length in tokens.
    *
    * @param route the name of the route
-   * @param maximumTokens how many it generates at most
-   * @param expected what the caller expects
+   * @param maximumTokens the maximum output length of the request
+   * @param expected the caller's estimate
    */
   public int expectedTokens(String route, int maximumTokens, OptionalInt expected) {
     double mean = meanTokens.getOrDefault(route, maximumTokens * INITIAL_SHARE);
@@ -43,7 +43,7 @@
     return (int) Math.max(1, Math.min(maximumTokens, Math.round(estimate)));
   }
 
-  /** Learns from an answer that came to its end. */
+  /** Updates the mean of a route with the length of a complete output. */
   public void update(String route, int maximumTokens, int tokens) {
     double mean = meanTokens.getOrDefault(route, maximumTokens * INITIAL_SHARE);
     meanTokens.put(route, mean + SMOOTHING_FACTOR * (tokens - mean));
--- a/core/src/main/java/org/marjoramsail/core/routing/PlainResponseTimes.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/PlainResponseTimes.java
@@ -4,32 +4,36 @@
 import java.util.Map;
 
 /**
- * How long plain answers of each service take of late.
+ * Moving average of the recent response times of each plain service.
  *
- * <p>Guards against an overload that feeds itself: when a service has lost servers and the rest
- * answer slowly, giving up answers after a fixed time and asking again elsewhere throws away work
- * that was nearly done, and none of the requests that may be repeated is ever answered. Learned
- * from all requests of a service, also those that are never given up. Not safe for several threads.
+ * <p>Guards against a retry storm: when a service has lost servers and the others respond slowly,
+ * abandoning requests after a fixed time and retrying them elsewhere discards work that is nearly
+ * done, so that no repeatable request ever completes. The average includes all requests of a
+ * service, also those that are never abandoned. Not thread-safe.
  */
 public final class PlainResponseTimes {
 
+  /** Weight of the latest response in the moving average. */
   private static final double SMOOTHING_FACTOR = 0.1;
 
-  /** An answer is overdue after so many times the mean. */
+  /** A response is overdue after this multiple of the mean response time. */
   private static final int OVERDUE_FACTOR = 3;
 
   private final Map<String, Double> meanMillis = new HashMap<>();
 
-  /** Starts with nothing learned. */
+  /** Creates an instance without any recorded responses. */
   public PlainResponseTimes() {}
 
-  /** Learns from an answer. */
+  /** Updates the mean of a service with the duration of a response. */
   public void update(String service, long tookMillis) {
     meanMillis.merge(
         service, (double) tookMillis, (mean, took) -> mean + SMOOTHING_FACTOR * (took - mean));
   }
 
-  /** After how long an answer of a service is overdue, in milliseconds; zero if unknown. */
+  /**
+   * Returns the time after which a response of a service is overdue, in milliseconds; zero for a
+   * service without recorded responses.
+   */
   public long overdueMillis(String service) {
     return Math.round(OVERDUE_FACTOR * meanMillis.getOrDefault(service, 0.0));
   }
--- a/core/src/main/java/org/marjoramsail/core/routing/PoolConfiguration.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/PoolConfiguration.java
@@ -9,25 +9,25 @@
 import org.marjoramsail.core.configuration.ServiceKind;
 import org.marjoramsail.core.configuration.UpstreamDefinition;
 
-/** Joins the services of a routing configuration and the upstreams that are believed in. */
+/** Combines the services of a routing configuration with the known upstreams. */
 public final class PoolConfiguration {
 
   /**
-   * A plain server is given one request in so many slots beyond them, which it queues. Between the
-   * end of an answer and the next request lie two messages to the owner of the pool; a server that
-   * was left alone with all of a service stood idle for a third of its time meanwhile, while most
-   * requests were refused. Engines get none: what they hold beyond is preempted.
+   * Number of slots of a plain server for which it gets one more request, which it queues. Without
+   * queued requests, the server would be idle between a response and the next request, which has to
+   * be granted by the owner of the pool first. Engines get no additional requests, since they
+   * preempt those beyond their slots.
    */
   private static final int SLOTS_PER_QUEUED_REQUEST = 3;
 
   private PoolConfiguration() {}
 
   /**
-   * The pools that placement decides over.
+   * Returns the configuration of the pools in which placement assigns requests to upstreams.
    *
-   * @param revision has to rise with each call
-   * @param routing what the operator put in force
-   * @param upstreams what is believed of upstreams; those of unknown services are left out
+   * @param revision the revision of the result; has to increase with each call
+   * @param routing the routing configuration in force
+   * @param upstreams the known upstreams; those of unknown services are omitted
    */
   public static Configuration of(
       long revision, RoutingConfiguration routing, List<UpstreamDefinition> upstreams) {
--- a/core/src/main/java/org/marjoramsail/core/routing/Route.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/Route.java
@@ -4,20 +4,20 @@
 import org.marjoramsail.core.model.Repeatability;
 
 /**
- * One route of the configuration: which requests it takes and how they are treated.
+ * One route of the configuration: the requests that it matches and how they are forwarded.
  *
- * @param name unique
- * @param host the host that callers name, in lower case
- * @param pathPrefix begins and ends with a slash
+ * @param name unique name of the route
+ * @param host the host name in the request, in lower case
+ * @param pathPrefix the path prefix that it matches; begins and ends with a slash
  * @param repeatability whether its requests may run more than once
- * @param streaming whether its answers are streams of events
- * @param timeoutMillis the longest time that a request may be kept waiting
- * @param targetMillis the time within which an answer, or its first event, is in time
- * @param gapTargetMillis the longest pause between two events of a stream that is in time
- * @param priority its rank; zero is the most urgent
- * @param maximumSends how many upstreams one request may be sent to at most
- * @param services where its requests go; at least one
- * @param anonymous whether callers without a key may use it
+ * @param streaming whether its responses are streams of events
+ * @param timeoutMillis the maximum time until the response to a request
+ * @param targetMillis latency target for a plain response or the first event of a stream
+ * @param gapTargetMillis latency target between two events of a stream
+ * @param priority priority of its requests; zero is the most urgent
+ * @param maximumSends maximum number of upstreams that one request may be sent to
+ * @param services the services that share its requests; at least one
+ * @param anonymous whether callers without a key may use the route
  */
 public record Route(
     String name,
@@ -33,12 +33,12 @@
     List<WeightedService> services,
     boolean anonymous) {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the list to make the record immutable. */
   public Route {
     services = List.copyOf(services);
   }
 
-  /** A route that needs a key wherever the configuration has organisations. */
+  /** Creates a route that requires a key if the configuration has organisations. */
   public Route(
       String name,
       String host,
@@ -67,9 +67,10 @@
   }
 
   /**
-   * The service of one request.
+   * Selects the service of one request by weight.
    *
-   * @param requestHash any number, the same for the same request: a hash of its identifier
+   * @param requestHash hash of the identifier of the request, so that its repeats get the same
+   *     service
    */
   public String serviceFor(long requestHash) {
     int sum = services.stream().mapToInt(WeightedService::weight).sum();
--- a/core/src/main/java/org/marjoramsail/core/routing/RouteTable.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/RouteTable.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Finds the route of a request: among those of its host the one with the longest prefix. */
+/** Finds the route of a request: the one of its host with the longest matching path prefix. */
 public final class RouteTable {
 
   private final Map<String, HostRoutes> byHost = new HashMap<>();
 
-  /** Indexes routes; of two with one host and prefix the first in the list counts. */
+  /** Indexes routes; of two with the same host and prefix, the first in the list wins. */
   public RouteTable(List<Route> routes) {
     for (Route route : routes) {
       byHost.computeIfAbsent(route.host(), host -> new HostRoutes()).add(route);
@@ -19,10 +19,10 @@
   }
 
   /**
-   * The route of a request.
+   * Returns the route of a request.
    *
-   * @param host what the caller names; case and a port do not matter
-   * @param path path without the query
+   * @param host the host in the request; its case and port are ignored
+   * @param path the path of the request without the query
    */
   public Optional<Route> find(String host, String path) {
     int colon = host.indexOf(':');
--- a/core/src/main/java/org/marjoramsail/core/routing/RoutedService.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/RoutedService.java
@@ -3,10 +3,11 @@
 import java.util.Optional;
 
 /**
- * A service that routes lead to.
+ * A service to which routes forward requests.
  *
- * @param name unique
- * @param connections how many connections one of its upstreams accepts from all callers together
- * @param engines what its engines can do; absent for a plain service
+ * @param name unique name of the service
+ * @param connections maximum number of connections that one of its upstreams accepts from all
+ *     clients together
+ * @param engines capacity and timing of its engines; empty for a plain service
  */
 public record RoutedService(String name, int connections, Optional<EngineProfile> engines) {}
--- a/core/src/main/java/org/marjoramsail/core/routing/RoutingConfiguration.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/RoutingConfiguration.java
@@ -6,14 +6,15 @@
 import org.marjoramsail.core.configuration.OrganisationKeys;
 
 /**
- * One version of the routes and services that an operator has put in force.
+ * One version of the routes, services and organisations that an operator has configured.
  *
- * @param version rises with each change, in uneven steps
- * @param routes where requests go
- * @param services what they go to
- * @param limits what callers may cost
- * @param organisations who may call, and how much; empty where anybody may
- * @param keys by which their callers are known
+ * @param version increases with each change, not necessarily by one
+ * @param routes the routes of requests to services
+ * @param services the services to which routes forward requests
+ * @param limits limits on the size and duration of requests
+ * @param organisations the organisations whose callers are served, with their limits; empty if
+ *     every caller is served
+ * @param keys the keys that identify the callers of organisations
  */
 public record RoutingConfiguration(
     long version,
@@ -23,30 +24,32 @@
     List<OrganisationDefinition> organisations,
     OrganisationKeys keys) {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the lists to make the record immutable. */
   public RoutingConfiguration {
     services = List.copyOf(services);
     organisations = List.copyOf(organisations);
   }
 
-  /** A configuration that anybody may use as much as they like. */
+  /**
+   * Creates a configuration without organisations, which serves every caller without rate limits.
+   */
   public RoutingConfiguration(
       long version, RouteTable routes, List<RoutedService> services, CallerLimits limits) {
     this(version, routes, services, limits, List.of(), OrganisationKeys.NONE);
   }
 
-  /** The same with organisations, whose callers alone may use it. */
+  /** Returns a copy with these organisations; only their callers are served. */
   public RoutingConfiguration withOrganisations(List<OrganisationDefinition> replacements) {
     return new RoutingConfiguration(
         version, routes, services, limits, replacements, new OrganisationKeys(replacements));
   }
 
-  /** Whether callers have to show a key. */
+  /** Returns whether callers are identified by keys. */
   public boolean isKeyed() {
     return !organisations.isEmpty();
   }
 
-  /** What is known of a service. */
+  /** Returns the service with this name, if it is configured. */
   public Optional<RoutedService> service(String name) {
     return services.stream().filter(service -> service.name().equals(name)).findFirst();
   }
--- a/core/src/main/java/org/marjoramsail/core/routing/WeightedService.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/WeightedService.java
@@ -1,9 +1,9 @@
 package org.marjoramsail.core.routing;
 
 /**
- * A service that gets a share of a route's requests.
+ * A service that receives a share of the requests of a route.
  *
- * @param service its name
- * @param weight its share, against the sum of the weights of the route
+ * @param service the name of the service
+ * @param weight its weight; its share is the weight divided by the sum of the weights of the route
  */
 public record WeightedService(String service, int weight) {}
--- a/core/src/main/java/org/marjoramsail/core/routing/package-info.java
+++ b/core/src/main/java/org/marjoramsail/core/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Which service a request of a caller goes to, by host and path. */
+/** Routing of requests to services by host and path. */
 package org.marjoramsail.core.routing;
--- a/core/src/test/java/org/marjoramsail/core/routing/PlainResponseTimesTest.java
+++ b/core/src/test/java/org/marjoramsail/core/routing/PlainResponseTimesTest.java
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Two of three servers were gone and the last one answered in 350 ms. Lookups were given up after
-   * 270 ms and asked again, so that none was answered and the server was busy for nothing.
+   * Guards against a retry storm: if requests are abandoned before a slow server responds and are
+   * then repeated, none of them ever completes.
    */
   @Test
   void aRequestToAServiceThatHasBecomeSlowIsNotAbandonedEarly() {
--- a/core/src/test/java/org/marjoramsail/core/routing/PoolConfigurationTest.java
+++ b/core/src/test/java/org/marjoramsail/core/routing/PoolConfigurationTest.java
@@ -37,10 +37,7 @@
     assertThat(pools.service("desk").orElseThrow().kind()).isEqualTo(ServiceKind.PLAIN);
   }
 
-  /**
-   * Two of three plain servers were gone. The last one stood idle for a third of its time, between
-   * an answer and the owner's next grant, while most requests were refused.
-   */
+  /** Guards against a plain server that is idle between a response and the owner's next grant. */
   @Test
   void aPlainServerGetsExtraQueuedRequestsAndAnEngineDoesNot() {
     assertThat(pools.upstreamsOf("desk").get(0).slots()).isEqualTo(8);
--- a/core/src/test/java/org/marjoramsail/core/routing/RouteTableTest.java
+++ b/core/src/test/java/org/marjoramsail/core/routing/RouteTableTest.java
@@ -61,7 +61,7 @@
     assertThat(duplicated.find("h", "/a/").orElseThrow().name()).isEqualTo("first");
   }
 
-  /** The lookup by segments against what it stands for: a walk over all routes. */
+  /** Compares the lookup by segments with a linear scan of all routes. */
   @Property(seed = "2301", tries = 2_000)
   void theLookupAgreesWithALinearScanOfAllRoutes(
       @ForAll("prefixes") @Size(max = 12) List<String> prefixes, @ForAll("paths") String path) {
@@ -91,7 +91,7 @@
     return texts();
   }
 
-  /** Short texts of few letters, so that prefixes and paths meet. */
+  /** Generates short texts of few letters, so that prefixes often match paths. */
   private static Arbitrary<String> texts() {
     return Arbitraries.strings().withChars('/', 'a', 'b').ofMaxLength(7);
   }
