--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationDifference.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationDifference.java
@@ -42,10 +42,10 @@
       }
       List<FieldDifference> fields = new ArrayList<>();
       for (RecordComponent component : before.get().getClass().getRecordComponents()) {
-        Object old = valueOf(component, before.get());
+        Object previous = valueOf(component, before.get());
         Object current = valueOf(component, after.get());
-        if (!Objects.equals(old, current)) {
-          fields.add(new FieldDifference(component.getName(), text(old), text(current)));
+        if (!Objects.equals(previous, current)) {
+          fields.add(new FieldDifference(component.getName(), text(previous), text(current)));
         }
       }
       return fields;
@@ -79,17 +79,17 @@
   public static ConfigurationDifference between(Configuration before, Configuration after) {
     List<ObjectDifference> objects = new ArrayList<>();
     for (ObjectKind kind : ObjectKind.values()) {
-      Map<ObjectKey, ConfigurationObject> old = byKey(kind, before);
+      Map<ObjectKey, ConfigurationObject> previous = byKey(kind, before);
       Map<ObjectKey, ConfigurationObject> current = byKey(kind, after);
       current.forEach(
           (key, object) -> {
-            ConfigurationObject earlier = old.remove(key);
+            ConfigurationObject earlier = previous.remove(key);
             if (!object.equals(earlier)) {
               objects.add(
                   new ObjectDifference(key, Optional.ofNullable(earlier), Optional.of(object)));
             }
           });
-      old.forEach(
+      previous.forEach(
           (key, object) ->
               objects.add(new ObjectDifference(key, Optional.of(object), Optional.empty())));
     }
--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationFollower.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationFollower.java
@@ -185,16 +185,16 @@
       MembershipView view,
       long nowMillis,
       List<FollowerAction> actions) {
-    Configuration reached = current;
+    Configuration updated = current;
     long newest = current.revision();
     for (RevisionDelta step : steps) {
       newest = Math.max(newest, step.revision());
-      if (step.baseRevision() == reached.revision()) {
-        reached = applyDelta(reached, step);
+      if (step.baseRevision() == updated.revision()) {
+        updated = applyDelta(updated, step);
       }
     }
-    if (adopt(reached, RevisionSource.PEER, Optional.of(from), actions)) {
-      push(reached.revision(), RELAY_FAN_OUT, view, Optional.of(from), actions);
+    if (adopt(updated, RevisionSource.PEER, Optional.of(from), actions)) {
+      push(updated.revision(), RELAY_FAN_OUT, view, Optional.of(from), actions);
     }
     if (newest > current.revision()) {
       requestRevision(from, newest, nowMillis, actions);
@@ -202,9 +202,9 @@
   }
 
   private static Configuration applyDelta(Configuration base, RevisionDelta step) {
-    Configuration made =
+    Configuration result =
         ConfigurationEditor.applyUnchecked(base, step.operations(), step.revision());
-    return ConfigurationChecksum.of(made) == step.checksum() ? made : base;
+    return ConfigurationChecksum.of(result) == step.checksum() ? result : base;
   }
 
   private void applyFull(
--- a/core/src/main/java/org/marjoramsail/core/configuration/OrganisationDefinition.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/OrganisationDefinition.java
@@ -73,8 +73,8 @@
 
   /** What a request counts for against the limit in tokens. */
   public int countedTokens(int promptTokens, int outputTokens) {
-    int stated = promptTokens + outputTokens;
-    return stated > 0 ? stated : tokensPerPlainRequest.orElse(0);
+    int requestTokens = promptTokens + outputTokens;
+    return requestTokens > 0 ? requestTokens : tokensPerPlainRequest.orElse(0);
   }
 
   @Override
--- a/core/src/main/java/org/marjoramsail/core/configuration/RecentDeltas.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/RecentDeltas.java
@@ -36,7 +36,7 @@
 
   /** The steps from a revision to the newest; empty when they are too many or not known. */
   List<RevisionDelta> deltasSince(long revision) {
-    List<RevisionDelta> path = new ArrayList<>();
+    List<RevisionDelta> chain = new ArrayList<>();
     int operations = 0;
     Iterator<RevisionDelta> newestFirst = deltas.descendingIterator();
     while (newestFirst.hasNext()) {
@@ -45,10 +45,10 @@
       if (operations > MAXIMUM_OPERATIONS) {
         return List.of();
       }
-      path.add(delta);
+      chain.add(delta);
       if (delta.baseRevision() == revision) {
-        Collections.reverse(path);
-        return path;
+        Collections.reverse(chain);
+        return chain;
       }
     }
     return List.of();
--- a/core/src/test/java/org/marjoramsail/core/configuration/ChangeAcceptorTest.java
+++ b/core/src/test/java/org/marjoramsail/core/configuration/ChangeAcceptorTest.java
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void twoOperatorsWhoChangeTheSameObjectConflictAndTheLaterIsToldOfTheOther() {
+  void aSecondChangeOfTheSameObjectIsRefusedAsAConflictThatNamesTheFirst() {
     // Ana and Bea look at revision 7. Ana raises the deadline of a rule and is accepted. Bea, who
     // has not seen it, orders another deadline. Taking hers would undo Ana's unseen.
     ConfigurationRoot root = new ConfigurationRoot(configuration(), List.of());
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void changesOfOtherObjectsAreAcceptedOneAfterTheOther() {
+  void changesOfDifferentObjectsAreBothAccepted() {
     ConfigurationRoot root = new ConfigurationRoot(configuration(), List.of());
     ConfigurationRoot changed = after(root, change("ana-1", put(rule("filings", 90_000))));
 
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void aBaseOlderThanWhatIsRememberedIsRefusedAndNotGuessedAt() {
+  void aBaseRevisionOlderThanTheRecordedChangesIsRefused() {
     ConfigurationRoot root = new ConfigurationRoot(configuration(), List.of());
     for (int order = 0; order <= ChangeAcceptor.MAXIMUM_RECENT_ORDERS; order++) {
       root = after(root, change("o" + order, put(rule("filings", 60_001 + order))));
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void nothingIsBuiltOnAStoreThatShowsLessThanWhatIsInForce() {
+  void aChangeIsRefusedWhileTheStoreIsOlderThanTheRevisionInForce() {
     // The platform restores its store from a backup. The root is old, and a change accepted on it
     // would give a revision number a second time with other content.
     ConfigurationRoot root = new ConfigurationRoot(configuration(), List.of());
--- a/core/src/test/java/org/marjoramsail/core/configuration/ConfigurationEditorTest.java
+++ b/core/src/test/java/org/marjoramsail/core/configuration/ConfigurationEditorTest.java
@@ -16,7 +16,7 @@
 final class ConfigurationEditorTest {
 
   @Test
-  void aSoundChangeGivesTheNextRevisionWithEachObjectInItsPlace() {
+  void aValidChangeMakesTheNextRevisionAndKeepsTheOrderOfObjects() {
     EditResult result =
         ConfigurationEditor.apply(
             configuration(),
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void everyProblemOfAChangeIsNamedAtOnceWithTheNearestName() {
+  void allProblemsOfAChangeAreReportedTogetherWithTheNearestName() {
     EditResult result =
         ConfigurationEditor.apply(
             configuration(),
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void anObjectThatOthersNameIsNotDeleted() {
+  void aReferencedObjectCannotBeDeleted() {
     EditResult result =
         ConfigurationEditor.apply(
             configuration(), change("o1", delete(ObjectKind.SERVICE, "lector")));
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void oneChangeCannotSayTwoThingsOfOneObject() {
+  void aChangeCannotHaveTwoOperationsOnOneObject() {
     EditResult result =
         ConfigurationEditor.apply(
             configuration(),
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void theDifferenceOfTwoRevisionsNamesFieldsAndLeadsFromOneToTheOther() {
+  void theDifferenceOfTwoRevisionsListsFieldsAndConvertsOneIntoTheOther() {
     Configuration before = configuration();
     EditResult result =
         ConfigurationEditor.apply(
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void aRestoredRevisionHasItsRulesInTheirOldOrder() {
+  void aRestoredRevisionKeepsTheOrderOfItsRules() {
     // The first rule that matches serves a request. If a restored rule came last, a ballot would be
     // served as something that may be repeated.
     Configuration old =
--- a/core/src/test/java/org/marjoramsail/core/configuration/FairWeightsTest.java
+++ b/core/src/test/java/org/marjoramsail/core/configuration/FairWeightsTest.java
@@ -13,25 +13,30 @@
    * were served: the rates of organisations stood as their weights beside the one of those without.
    */
   @Test
-  void organisationsWithoutARateCountLikeTheMeanOfTheOthers() {
+  void organisationsWithoutARateGetTheMeanWeight() {
     List<OrganisationDefinition> weighted =
         FairWeights.withWeightsByRate(
-            List.of(tokens("large", 150_000), tokens("small", 50_000), tokens("none", 0)));
+            List.of(
+                limitedByTokens("large", 150_000),
+                limitedByTokens("small", 50_000),
+                limitedByTokens("none", 0)));
 
     assertThat(weighted).extracting(OrganisationDefinition::weight).containsExactly(1.5, 0.5, 1.0);
   }
 
   @Test
-  void ratesOfTokensAndOfRequestsAreNotMixed() {
-    OrganisationDefinition counted =
+  void tokenRatesAndRequestRatesAreAveragedSeparately() {
+    OrganisationDefinition limitedByRequests =
         new OrganisationDefinition("counted", List.of(), List.of(), 1, 0, 20, 0);
 
-    assertThat(FairWeights.withWeightsByRate(List.of(counted, tokens("large", 150_000))))
+    assertThat(
+            FairWeights.withWeightsByRate(
+                List.of(limitedByRequests, limitedByTokens("large", 150_000))))
         .extracting(OrganisationDefinition::weight)
         .containsExactly(1.0, 1.0);
   }
 
-  private static OrganisationDefinition tokens(String name, double perSecond) {
+  private static OrganisationDefinition limitedByTokens(String name, double perSecond) {
     return new OrganisationDefinition(
         name, List.of(), List.of(), 1, 0, 0, perSecond, Optional.empty(), Optional.empty());
   }
