--- a/core/src/main/java/org/marjoramsail/core/configuration/AcceptanceStep.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/AcceptanceStep.java
@@ -1,14 +1,14 @@
 package org.marjoramsail.core.configuration;
 
-/** What to do next with a change, given the root as it was just read. */
+/** Next step for a change, decided on the root as it was just read. */
 public sealed interface AcceptanceStep {
 
   /**
-   * Update the root on condition that it is still the one that was read.
+   * The root has to be updated, on condition that it still equals the one that was read.
    *
-   * @param next the root with the change
-   * @param record what the change is remembered by
-   * @param difference what it changes
+   * @param next the root that includes the change
+   * @param record the record of the change in the root
+   * @param difference the objects that it changes
    */
   record Write(ConfigurationRoot next, OrderRecord record, ConfigurationDifference difference)
       implements AcceptanceStep {}
@@ -16,14 +16,14 @@
   /**
    * The change has been accepted before.
    *
-   * @param record what it is remembered by
+   * @param record the existing record of the change
    */
   record AlreadyAccepted(OrderRecord record) implements AcceptanceStep {}
 
   /**
    * The change cannot be accepted on this root.
    *
-   * @param refusal why
+   * @param refusal the reason
    */
   record Refuse(ChangeRefusal refusal) implements AcceptanceStep {}
 }
--- a/core/src/main/java/org/marjoramsail/core/configuration/ChangeAcceptor.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ChangeAcceptor.java
@@ -4,12 +4,13 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Decides whether a change can be accepted on the root that was just read. */
+/** Decides whether a change can be accepted on the root as it was just read. */
 public final class ChangeAcceptor {
 
-  /** How many accepted changes the root remembers; about two hours at the busiest pace planned. */
+  /** Maximum number of accepted changes that the root records. */
   public static final int MAXIMUM_RECENT_ORDERS = 200;
 
+  /** Maximum number of objects recorded for one change; beyond it, none are. */
   private static final int MAXIMUM_RECORDED_OBJECTS = 32;
 
   private ChangeAcceptor() {}
@@ -17,12 +18,12 @@
   /**
    * Decides the next step of a change.
    *
-   * @param change what was ordered
+   * @param change the change that an operator ordered
    * @param root the root as it was just read
-   * @param firstReadRevision the revision that was read first for this change; stands for the base
-   *     where the change names none
+   * @param firstReadRevision the revision that was read first for this change; used as the base
+   *     revision if the change states none
    * @param revisionInForce the revision in force on the deciding daemon
-   * @param wallClockMillis what the acceptance is dated with
+   * @param wallClockMillis the time to record as the time of acceptance
    */
   public static AcceptanceStep decide(
       ConfigurationChange change,
@@ -70,7 +71,9 @@
         : Optional.of(new ChangeRefusal.Conflict(base, others));
   }
 
-  /** The objects that a change names; empty for all. */
+  /**
+   * Returns the keys of the objects that a change affects; empty if it affects none in particular.
+   */
   private static List<ObjectKey> changedObjects(ConfigurationChange change, Configuration current) {
     List<ObjectKey> keys = new ArrayList<>();
     for (ConfigurationOperation operation : change.operations()) {
--- a/core/src/main/java/org/marjoramsail/core/configuration/ChangeRefusal.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ChangeRefusal.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Why a change was not accepted, or that nobody knows. */
+/** Reason why a change was not accepted, or why its outcome is unknown. */
 public sealed interface ChangeRefusal {
 
-  /** A sentence for operators. */
+  /** Returns a message for operators. */
   String message();
 
-  /** The reason in lower case with hyphens, as operators and counters see it. */
+  /** Returns the reason in lower case with hyphens, as it appears in responses and metrics. */
   default String code() {
     return getClass()
         .getSimpleName()
@@ -17,15 +17,15 @@
         .toLowerCase(Locale.ROOT);
   }
 
-  /** Whether it is proven that the change took no effect and never will. */
+  /** Returns whether it is certain that the change had no effect and will have none. */
   default boolean isProven() {
     return true;
   }
 
   /**
-   * The change itself is unsound.
+   * The change itself is invalid.
    *
-   * @param problems every reason
+   * @param problems all reasons
    */
   record Invalid(List<ConfigurationProblem> problems) implements ChangeRefusal {
 
@@ -44,10 +44,10 @@
   }
 
   /**
-   * Other changes of the same objects came in between.
+   * Other changes of the same objects were accepted after the base revision.
    *
    * @param baseRevision the revision that the refused change was made for
-   * @param others the changes since, which touched the same objects
+   * @param others the later changes of the same objects
    */
   record Conflict(long baseRevision, List<OrderRecord> others) implements ChangeRefusal {
 
@@ -70,11 +70,11 @@
   }
 
   /**
-   * The revision that the change was made for is unknown here: too long ago, or not yet made.
+   * The base revision of the change is too old to check for conflicts, or does not exist yet.
    *
-   * @param baseRevision the revision that the change names
-   * @param oldestKnown the oldest revision that it may name
-   * @param newest the newest revision that it may name
+   * @param baseRevision the base revision that the change states
+   * @param oldestKnown the oldest base revision that is allowed
+   * @param newest the newest base revision that is allowed
    */
   record BaseUnknown(long baseRevision, long oldestKnown, long newest) implements ChangeRefusal {
 
@@ -86,15 +86,15 @@
           + oldestKnown
           + " to "
           + newest
-          + ". Look at the newest revision and order it again.";
+          + ". Review the newest revision and send the change again.";
     }
   }
 
   /**
-   * The root would not fit into one object of the platform.
+   * The root would exceed the maximum size of an object in the store.
    *
-   * @param bytes how large it would be
-   * @param bound how large it may be
+   * @param bytes the size that the root would have
+   * @param bound the maximum size
    */
   record TooLarge(long bytes, long bound) implements ChangeRefusal {
 
@@ -105,10 +105,11 @@
   }
 
   /**
-   * The store shows an older configuration than the one in force here, so nothing is built on it.
+   * The store returned an older configuration than the one in force on this daemon, so no change is
+   * accepted on it.
    *
-   * @param storedRevision what the store shows
-   * @param revisionInForce what is in force here
+   * @param storedRevision the revision in the store
+   * @param revisionInForce the revision in force on this daemon
    */
   record StoreBehind(long storedRevision, long revisionInForce) implements ChangeRefusal {
 
@@ -118,14 +119,14 @@
           + storedRevision
           + " but revision "
           + revisionInForce
-          + " is in force; an older configuration is never built on.";
+          + " is in force; changes of an older configuration are not accepted.";
     }
   }
 
   /**
-   * No such revision is kept.
+   * The requested revision is not in the history.
    *
-   * @param revision the revision asked for
+   * @param revision the requested revision
    */
   record RevisionNotKept(long revision) implements ChangeRefusal {
 
@@ -136,9 +137,9 @@
   }
 
   /**
-   * The store refuses the root as it stands.
+   * The store rejected the update of the root.
    *
-   * @param detail what the store said
+   * @param detail the response of the store
    */
   record StoreRefused(String detail) implements ChangeRefusal {
 
@@ -149,10 +150,10 @@
   }
 
   /**
-   * The store cannot be reached; the change was not written this time. What became of an earlier
-   * sending of the same order stays unknown.
+   * The store is unavailable and this request did not write the change. An earlier request with the
+   * same order identifier may have written it.
    *
-   * @param detail what the store said last
+   * @param detail the last response of the store
    */
   record StoreUnavailable(String detail) implements ChangeRefusal {
 
@@ -163,9 +164,9 @@
   }
 
   /**
-   * The change was written, the answer was lost, and the store could not be read since.
+   * The change was sent to the store, the response was lost, and the store could not be read since.
    *
-   * @param order ask again with the same order to learn what became of it
+   * @param order identifier of the change; sending it again returns the outcome
    */
   record Unsettled(OrderId order) implements ChangeRefusal {
 
@@ -173,7 +174,7 @@
     public String message() {
       return "Whether order "
           + order
-          + " was accepted is not known yet; send the same order again to learn it.";
+          + " was accepted is not known yet; send the same order again to find out.";
     }
 
     @Override
--- a/core/src/main/java/org/marjoramsail/core/configuration/ChangeResult.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ChangeResult.java
@@ -1,27 +1,27 @@
 package org.marjoramsail.core.configuration;
 
-/** What the operator who ordered a change is told. */
+/** Result of a change, as returned to the operator who ordered it. */
 public sealed interface ChangeResult {
 
   /**
-   * The change is in the store and will be in force everywhere.
+   * The change is in the store and will come into force on all daemons.
    *
-   * @param record the change, with the revision that it made
-   * @param root the newest root that the accepting daemon knows
+   * @param record the record of the change, with the revision that it created
+   * @param root the newest root that the accepting daemon has read
    */
   record Accepted(OrderRecord record, ConfigurationRoot root) implements ChangeResult {}
 
   /**
-   * The change was not accepted, or its fate is unknown; the refusal says which.
+   * The change was not accepted, or its outcome is unknown; see {@link ChangeRefusal#isProven}.
    *
-   * @param refusal why
+   * @param refusal the reason
    */
   record Refused(ChangeRefusal refusal) implements ChangeResult {}
 
   /**
-   * A trial: the change would be accepted on the newest revision.
+   * The dry run of a change showed that it would be accepted on the newest revision.
    *
-   * @param difference what it would change
+   * @param difference the objects that the change would modify
    */
   record DryRun(ConfigurationDifference difference) implements ChangeResult {}
 }
--- a/core/src/main/java/org/marjoramsail/core/configuration/Configuration.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/Configuration.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * One accepted configuration, whole and immutable.
+ * One accepted revision of the configuration; complete and immutable.
  *
- * @param revision rises by one with each accepted change; zero is the empty configuration
- * @param services what callers can ask for
- * @param models the models and the versions that pools should run
- * @param upstreams the servers
- * @param rules which requests may wait, which must be quick, which may run only once
- * @param organisations who may call, and how much
+ * @param revision increases by one with each accepted change; zero is the empty configuration
+ * @param services the services that callers can use
+ * @param models the models and the versions of them that pools should run
+ * @param upstreams the back ends of the services
+ * @param rules latency targets, deadlines and repeatability of requests
+ * @param organisations the organisations whose callers are served, with their limits
  */
 public record Configuration(
     long revision,
@@ -21,7 +21,7 @@
     List<RuleDefinition> rules,
     List<OrganisationDefinition> organisations) {
 
-  /** Copies the lists, so that the value cannot change. */
+  /** Copies the lists to make the record immutable. */
   public Configuration {
     services = List.copyOf(services);
     models = List.copyOf(models);
@@ -30,22 +30,22 @@
     organisations = List.copyOf(organisations);
   }
 
-  /** The configuration of a daemon that has not heard of any. */
+  /** Returns the configuration of a daemon that has not received any. */
   public static Configuration empty() {
     return new Configuration(0, List.of(), List.of(), List.of(), List.of(), List.of());
   }
 
-  /** The service of that name. */
+  /** Returns the service with this name, if it exists. */
   public Optional<ServiceDefinition> service(String name) {
     return services.stream().filter(service -> service.name().equals(name)).findFirst();
   }
 
-  /** The rules of a service, in the order in which they are tried. */
+  /** Returns the rules of a service, in the order in which they are evaluated. */
   public List<RuleDefinition> rulesOf(String service) {
     return rules.stream().filter(rule -> rule.service().equals(service)).toList();
   }
 
-  /** The upstreams of a service. */
+  /** Returns the upstreams of a service. */
   public List<UpstreamDefinition> upstreamsOf(String service) {
     return upstreams.stream().filter(upstream -> upstream.service().equals(service)).toList();
   }
--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationChange.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationChange.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * What an operator ordered, taken over whole or not at all.
+ * Change that an operator ordered; applied atomically.
  *
- * @param order names it; the same order again has no further effect
- * @param author who ordered it
- * @param summary what it is for, in the operator's words
- * @param baseRevision the revision that the operator saw; a later change of the same objects is a
- *     conflict
- * @param operations its steps, in order
+ * @param order identifier of the change; a repeated order has no further effect
+ * @param author the operator who ordered it
+ * @param summary the purpose of the change, as stated by the operator
+ * @param baseRevision the revision that the change is based on; a later change of the same objects
+ *     is a conflict
+ * @param operations its operations, in order
  */
 public record ConfigurationChange(
     OrderId order,
@@ -20,7 +20,7 @@
     Optional<Long> baseRevision,
     List<ConfigurationOperation> operations) {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the list to make the record immutable. */
   public ConfigurationChange {
     operations = List.copyOf(operations);
   }
--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationChecks.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationChecks.java
@@ -11,7 +11,7 @@
 import org.marjoramsail.core.configuration.ConfigurationProblem.Kind;
 import org.marjoramsail.core.model.UpstreamRole;
 
-/** Checks one whole configuration and collects everything that is wrong with it. */
+/** Validates a complete configuration and collects all of its problems. */
 final class ConfigurationChecks {
 
   private static final Pattern NAME = Pattern.compile("[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?");
@@ -34,7 +34,7 @@
     this.configuration = configuration;
   }
 
-  /** Every problem of a configuration; empty when it is valid. */
+  /** Returns all problems of a configuration; empty if it is valid. */
   static List<ConfigurationProblem> problemsOf(Configuration configuration) {
     ConfigurationChecks checks = new ConfigurationChecks(configuration);
     for (ObjectKind kind : ObjectKind.values()) {
@@ -134,7 +134,12 @@
     rule.pathPrefix()
         .ifPresent(
             prefix ->
-                require(prefix.startsWith("/"), rule, "pathPrefix", prefix, "a path from \"/\""));
+                require(
+                    prefix.startsWith("/"),
+                    rule,
+                    "pathPrefix",
+                    prefix,
+                    "a path that starts with \"/\""));
     rule.method()
         .ifPresent(
             method ->
--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationDifference.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationDifference.java
@@ -9,16 +9,16 @@
 import java.util.Optional;
 
 /**
- * What one revision has that another has not.
+ * Difference between two revisions of the configuration.
  *
  * @param fromRevision the earlier revision
  * @param toRevision the later revision
- * @param objects each object that differs
+ * @param objects the objects that differ
  */
 public record ConfigurationDifference(
     long fromRevision, long toRevision, List<ObjectDifference> objects) {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the list to make the record immutable. */
   public ConfigurationDifference {
     objects = List.copyOf(objects);
   }
@@ -26,16 +26,16 @@
   /**
    * One object that differs.
    *
-   * @param key which
-   * @param before as it was; empty for a new one
-   * @param after as it is; empty for a deleted one
+   * @param key the key of the object
+   * @param before the object in the earlier revision; empty for a new one
+   * @param after the object in the later revision; empty for a deleted one
    */
   public record ObjectDifference(
       ObjectKey key,
       Optional<? extends ConfigurationObject> before,
       Optional<? extends ConfigurationObject> after) {
 
-    /** The fields that differ, where the object is in both. */
+    /** Returns the fields that differ; empty unless both revisions have the object. */
     public List<FieldDifference> fields() {
       if (before.isEmpty() || after.isEmpty()) {
         return List.of();
@@ -69,9 +69,9 @@
   /**
    * One field that differs.
    *
-   * @param field its name
-   * @param before its value as it was
-   * @param after its value as it is
+   * @param field the name of the field
+   * @param before its value in the earlier revision
+   * @param after its value in the later revision
    */
   public record FieldDifference(String field, String before, String after) {}
 
@@ -96,12 +96,15 @@
     return new ConfigurationDifference(before.revision(), after.revision(), objects);
   }
 
-  /** The objects that differ. */
+  /** Returns the keys of the objects that differ. */
   public List<ObjectKey> keys() {
     return objects.stream().map(ObjectDifference::key).toList();
   }
 
-  /** Steps that lead from the earlier revision to the later, but for the order of objects. */
+  /**
+   * Returns operations that convert the earlier revision into the later one, except for the order
+   * of objects.
+   */
   List<ConfigurationOperation> operations() {
     return objects.stream().map(ConfigurationDifference::operationFor).toList();
   }
--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationDraft.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationDraft.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A configuration under change; keeps the order of its objects. */
+/** Mutable copy of a configuration; keeps the order of its objects. */
 final class ConfigurationDraft {
 
   private final Map<ObjectKind, Map<String, ConfigurationObject>> objects =
--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationEditor.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationEditor.java
@@ -8,17 +8,17 @@
 import java.util.stream.Collectors;
 import org.marjoramsail.core.configuration.ConfigurationProblem.Kind;
 
-/** Applies changes to configurations; every problem of a change is found at once. */
+/** Applies changes to configurations and reports all problems of a change together. */
 public final class ConfigurationEditor {
 
   private ConfigurationEditor() {}
 
   /**
-   * Applies a change.
+   * Applies a change after validating it.
    *
-   * @param configuration what it applies to
-   * @param change what to do
-   * @return the configuration one revision later, or every reason against it
+   * @param configuration the configuration to change
+   * @param change the change to apply
+   * @return the changed configuration with the next revision, or all problems
    */
   public static EditResult apply(Configuration configuration, ConfigurationChange change) {
     List<ConfigurationProblem> problems = new ArrayList<>();
@@ -36,7 +36,7 @@
     return problems.isEmpty() ? new EditResult.Edited(edited) : new EditResult.Invalid(problems);
   }
 
-  /** Applies steps that were checked before, as when they come from another daemon. */
+  /** Applies operations without validation, for those that another daemon has validated. */
   static Configuration applyUnchecked(
       Configuration configuration, List<ConfigurationOperation> operations, long revision) {
     ConfigurationDraft draft = new ConfigurationDraft(configuration);
@@ -94,7 +94,7 @@
     }
   }
 
-  /** The object that a step is about; empty for one about all objects. */
+  /** Returns the key of the object of an operation; empty for a restore of all objects. */
   static Optional<ObjectKey> keyOf(ConfigurationOperation operation) {
     if (operation instanceof ConfigurationOperation.Put put) {
       return Optional.of(put.object().key());
--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationFollower.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationFollower.java
@@ -12,15 +12,16 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * Keeps one daemon at the newest revision, and helps others to it.
+ * Keeps one daemon at the newest revision of the configuration and distributes it to other daemons.
  *
- * <p>Few daemons watch the store. Whoever learns a new revision pushes it to some others at random,
- * and now and then each compares revisions with one other, so that lost messages are made up for.
- * An older revision is never applied. Called under a lock of its owner.
+ * <p>Only a few daemons watch the store. A daemon that receives a new revision pushes it to
+ * randomly chosen daemons. Each daemon also compares revisions with a random daemon periodically,
+ * which recovers from lost messages. An older revision is never applied. Callers have to hold a
+ * lock.
  */
 public final class ConfigurationFollower {
 
-  /** How often it compares revisions with another daemon, in milliseconds, on average. */
+  /** Mean interval between comparisons of revisions with another daemon, in milliseconds. */
   public static final long EXCHANGE_MILLIS = 2_000;
 
   private static final int RELAY_FAN_OUT = 4;
@@ -44,42 +45,42 @@
   private long requestedMillis;
 
   /**
-   * Starts without a configuration.
+   * Creates a follower without a configuration.
    *
-   * @param packer packs whole configurations
-   * @param random chooses other daemons and spreads repeated calls
-   * @param nowMillis the time
+   * @param packer serialises complete configurations
+   * @param random source for the choice of daemons and for jitter
+   * @param nowMillis the current time
    */
   public ConfigurationFollower(ConfigurationPacker packer, RandomGenerator random, long nowMillis) {
     this.packer = packer;
     this.random = random;
     this.nextExchangeMillis = nowMillis;
-    // Failure: all daemons start at once after a power cut and read the store in the same moment.
-    // It shows as calls over the budget. A random start spreads them over a second.
+    // Guards against a burst of reads that exceeds the limit of the store, when all daemons start
+    // at once after a power cut. A random delay spreads the first reads over a second.
     this.nextStoreReadMillis = nowMillis + random.nextLong(FIRST_STORE_PAUSE_MILLIS);
   }
 
-  /** The newest revision that this daemon knows; the empty one at first. */
+  /** Returns the newest revision that this daemon has received; initially the empty one. */
   public Configuration current() {
     return current;
   }
 
-  /** Where the newest revision was learned. */
+  /** Returns the source of the newest revision. */
   public RevisionSource source() {
     return source;
   }
 
-  /** Whether there is a configuration to serve by. */
+  /** Returns whether a configuration has been received. */
   public boolean isReady() {
     return source != RevisionSource.NONE;
   }
 
-  /** Whether this daemon should hold a watch on the store. */
+  /** Returns whether this daemon should watch the store. */
   public boolean isWatching() {
     return watching;
   }
 
-  /** Does what time has made due; called a few times a second. */
+  /** Returns the actions that are due; to be called a few times a second. */
   public List<FollowerAction> tick(MembershipView view, long nowMillis) {
     List<FollowerAction> actions = new ArrayList<>();
     updateWatching(view, actions);
@@ -96,7 +97,7 @@
     return actions;
   }
 
-  /** Handles a revision from the store or from an acceptance of this daemon. */
+  /** Handles a revision that was read from the store or accepted by this daemon. */
   public List<FollowerAction> receiveRevision(
       Configuration configuration, RevisionSource from, MembershipView view) {
     List<FollowerAction> actions = new ArrayList<>();
@@ -106,7 +107,7 @@
     return actions;
   }
 
-  /** Handles a message of another daemon; messages that are about something else do nothing. */
+  /** Handles a message from another daemon; ignores messages of unrelated types. */
   public List<FollowerAction> handle(
       DaemonId from, PeerMessage message, MembershipView view, long nowMillis) {
     List<FollowerAction> actions = new ArrayList<>();
@@ -149,9 +150,9 @@
       RevisionSource from,
       Optional<DaemonId> peer,
       List<FollowerAction> actions) {
-    // Failure: messages and answers of the store cross, or the store is restored from a backup, and
-    // an older revision arrives last. It would show as an accepted change that is undone. Revisions
-    // only rise, so whatever is not newer is dropped.
+    // Guards against undoing an accepted change when an older revision arrives late, because
+    // messages were reordered or the store was restored from a backup. Revisions only increase, so
+    // a revision that is not newer is dropped.
     if (configuration.revision() <= current.revision()) {
       return false;
     }
@@ -173,7 +174,7 @@
     }
   }
 
-  /** The last step as a delta, or only its number where a delta would not be small. */
+  /** Returns the latest delta, or a digest with the revision number if there is no small delta. */
   private PeerMessage newestRevisionMessage(long revision) {
     List<RevisionDelta> last = deltas.lastStep();
     return last.isEmpty() ? new RevisionDigestMessage(revision) : new RevisionDeltaMessage(last);
@@ -245,8 +246,8 @@
 
   private void requestRevision(
       DaemonId from, long revision, long nowMillis, List<FollowerAction> actions) {
-    // Failure: several daemons announce one large revision at once and each sends it whole. It
-    // shows as bursts on the link. Only one is asked, and another only after it had time to answer.
+    // Guards against bursts on the network when several daemons announce a large revision at once.
+    // Only one of them is requested to send it, and another one only after a timeout.
     boolean alreadyRequested =
         requestedRevision >= revision && nowMillis - requestedMillis < REQUEST_TIMEOUT_MILLIS;
     if (alreadyRequested) {
--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationObject.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationObject.java
@@ -1,6 +1,6 @@
 package org.marjoramsail.core.configuration;
 
-/** One thing that operators create, change and delete by name. */
+/** Object that operators create, change and delete by name. */
 public sealed interface ConfigurationObject
     permits ServiceDefinition,
         ModelDefinition,
@@ -8,6 +8,6 @@
         RuleDefinition,
         OrganisationDefinition {
 
-  /** What it is called among all objects. */
+  /** Returns the key that identifies this object in a configuration. */
   ObjectKey key();
 }
--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationOperation.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationOperation.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
-/** One step of a change. */
+/** One operation of a change. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "operation")
 @JsonSubTypes({
   @JsonSubTypes.Type(value = ConfigurationOperation.Put.class, name = "put"),
@@ -13,9 +13,9 @@
 public sealed interface ConfigurationOperation {
 
   /**
-   * Creates an object, or replaces the one of the same name in its place.
+   * Creates an object, or replaces the object of the same name without changing its position.
    *
-   * @param object the whole object
+   * @param object the complete object
    */
   record Put(
       @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "objectKind")
@@ -32,13 +32,13 @@
   /**
    * Deletes an object.
    *
-   * @param key which
+   * @param key the key of the object
    */
   record Delete(ObjectKey key) implements ConfigurationOperation {}
 
   /**
-   * Takes over all objects of an earlier revision, in their order; the only operation of its
-   * change.
+   * Replaces all objects with those of an earlier revision, in their order; has to be the only
+   * operation of its change.
    *
    * @param configuration the earlier revision
    */
--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationPacker.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationPacker.java
@@ -2,12 +2,12 @@
 
 import java.util.Optional;
 
-/** Packs configurations for the way between daemons. */
+/** Serialises configurations for transfer between daemons. */
 public interface ConfigurationPacker {
 
-  /** Packs a configuration into a text. */
+  /** Serialises a configuration to a string. */
   String pack(Configuration configuration);
 
-  /** Unpacks a text; empty when it is not a packed configuration. */
+  /** Deserialises a string; returns empty if it is not a serialised configuration. */
   Optional<Configuration> unpack(String packed);
 }
--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationProblem.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationProblem.java
@@ -3,14 +3,14 @@
 import java.util.Optional;
 
 /**
- * One reason why a change is refused.
+ * Reason why a change is invalid.
  *
- * @param kind what is wrong
- * @param object the object whose field is wrong
- * @param field the component of the object; empty for the object itself
- * @param value what it says
- * @param allowed what it may say
- * @param nearest the allowed value that is nearest to it
+ * @param kind the kind of problem
+ * @param object the object with the problem
+ * @param field the field of the object; empty if the problem concerns the object as a whole
+ * @param value the invalid value
+ * @param allowed description of the allowed values
+ * @param nearest the allowed name that is most similar to the value, if any
  */
 public record ConfigurationProblem(
     Kind kind,
@@ -20,21 +20,21 @@
     String allowed,
     Optional<String> nearest) {
 
-  /** What can be wrong with a change. */
+  /** Kinds of problems. */
   public enum Kind {
-    /** It names an object that does not exist. */
+    /** The change refers to an object that does not exist. */
     UNKNOWN_REFERENCE,
-    /** It takes away an object that others name. */
+    /** The change deletes an object that other objects refer to. */
     STILL_REFERENCED,
-    /** Two objects, or two steps of one change, claim the same name or address. */
+    /** Two objects, or two operations of one change, have the same name or address. */
     DUPLICATE,
-    /** A field has a value that is not allowed. */
+    /** A field has an invalid value. */
     BAD_VALUE,
-    /** The change has no steps, or steps that exclude each other. */
+    /** The change has no operations, or a combination of operations that is not allowed. */
     BAD_CHANGE
   }
 
-  /** A sentence for operators that quotes the value and says what is allowed. */
+  /** Returns a message for operators with the invalid value and the allowed values. */
   public String message() {
     String place = field.isEmpty() ? object.toString() : object + ", " + field;
     String suggestion = nearest.map(name -> " Did you mean \"" + name + "\"?").orElse("");
--- a/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationRoot.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ConfigurationRoot.java
@@ -4,24 +4,24 @@
 import java.util.Optional;
 
 /**
- * The one object whose conditional update accepts a change.
+ * Stored object with the newest configuration; a change is accepted by a conditional update of it.
  *
  * @param configuration the newest revision
- * @param recentOrders the latest accepted changes, oldest first, bounded in number
+ * @param recentOrders records of the latest accepted changes, oldest first; limited in number
  */
 public record ConfigurationRoot(Configuration configuration, List<OrderRecord> recentOrders) {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the list to make the record immutable. */
   public ConfigurationRoot {
     recentOrders = List.copyOf(recentOrders);
   }
 
-  /** The root before any change. */
+  /** Returns the root before any change. */
   public static ConfigurationRoot empty() {
     return new ConfigurationRoot(Configuration.empty(), List.of());
   }
 
-  /** The accepted change of that name, while it is remembered. */
+  /** Returns the record of an accepted change, if it is still among the recent ones. */
   public Optional<OrderRecord> order(OrderId order) {
     return recentOrders.stream().filter(entry -> entry.order().equals(order)).findFirst();
   }
--- a/core/src/main/java/org/marjoramsail/core/configuration/EditResult.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/EditResult.java
@@ -2,24 +2,24 @@
 
 import java.util.List;
 
-/** What became of a change that was applied to a configuration. */
+/** Result of applying a change to a configuration. */
 public sealed interface EditResult {
 
   /**
-   * The change is sound.
+   * The change is valid.
    *
-   * @param configuration the configuration with it, one revision later
+   * @param configuration the changed configuration, with the next revision
    */
   record Edited(Configuration configuration) implements EditResult {}
 
   /**
-   * The change is refused whole.
+   * The change is invalid and none of its operations was applied.
    *
-   * @param problems every reason, at least one
+   * @param problems all problems, at least one
    */
   record Invalid(List<ConfigurationProblem> problems) implements EditResult {
 
-    /** Copies the list, so that the value cannot change. */
+    /** Copies the list to make the record immutable. */
     public Invalid {
       problems = List.copyOf(problems);
     }
--- a/core/src/main/java/org/marjoramsail/core/configuration/FairWeights.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/FairWeights.java
@@ -3,17 +3,18 @@
 import java.util.List;
 import java.util.function.ToDoubleFunction;
 
-/** Works out how a full pool is divided between organisations for which no weights are stated. */
+/** Derives the weights of organisations from their rate limits, for fair sharing of a full pool. */
 public final class FairWeights {
 
   private FairWeights() {}
 
   /**
-   * Gives each organisation a share as large as its rate beside the mean rate.
+   * Returns the organisations with weights equal to their rate limit divided by the mean rate
+   * limit.
    *
-   * <p>An organisation without a rate, and callers that belong to none, count like the mean. Were
-   * the rates themselves the weights, such callers would get a hundred thousandth of the share of
-   * any other, and hardly one of their requests would be served in a burst.
+   * <p>An organisation without a rate limit gets the weight 1, as callers without an organisation
+   * do. Using the rate limits themselves as weights would starve these callers, since such limits
+   * are far larger than 1.
    */
   public static List<OrganisationDefinition> withWeightsByRate(
       List<OrganisationDefinition> organisations) {
--- a/core/src/main/java/org/marjoramsail/core/configuration/InForceReport.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/InForceReport.java
@@ -4,29 +4,29 @@
 import java.util.Optional;
 
 /**
- * Where a revision is in force.
+ * Report on which daemons a revision is in force.
  *
- * @param revision the revision asked about
- * @param inForce on how many daemons it, or a later one, is in force
- * @param total of how many daemons that should serve
- * @param lagging those on which it is not, or that did not answer
+ * @param revision the requested revision
+ * @param inForce number of daemons on which this or a later revision is in force
+ * @param total number of daemons that should have it in force
+ * @param lagging the daemons on which it is not in force, or that did not respond
  */
 public record InForceReport(long revision, int inForce, int total, List<Lagging> lagging) {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the list to make the record immutable. */
   public InForceReport {
     lagging = List.copyOf(lagging);
   }
 
   /**
-   * A daemon on which a revision is not known to be in force.
+   * Daemon on which the revision is not known to be in force.
    *
-   * @param host its host
-   * @param revision what is in force there; empty when it did not answer
+   * @param host the host of the daemon
+   * @param revision the revision in force there; empty if the daemon did not respond
    */
   public record Lagging(String host, Optional<Long> revision) {}
 
-  /** Whether the revision is in force on all daemons that should serve. */
+  /** Returns whether the revision is in force on all daemons that should have it. */
   public boolean isComplete() {
     return inForce == total;
   }
--- a/core/src/main/java/org/marjoramsail/core/configuration/NearestName.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/NearestName.java
@@ -4,14 +4,15 @@
 import java.util.Comparator;
 import java.util.Optional;
 
-/** Finds the name that an operator most likely meant, by edit distance. */
+/** Finds the most similar name by edit distance, to suggest it to an operator. */
 final class NearestName {
 
+  /** Length of a name for which one edit is allowed. */
   private static final int LETTERS_PER_EDIT = 3;
 
   private NearestName() {}
 
-  /** The candidate with the fewest edits, if at most about a third of the name is wrong. */
+  /** Returns the candidate with the smallest edit distance, if the distance is small enough. */
   static Optional<String> of(String name, Collection<String> candidates) {
     int maximumEdits = Math.max(2, name.length() / LETTERS_PER_EDIT);
     return candidates.stream()
--- a/core/src/main/java/org/marjoramsail/core/configuration/ObjectKey.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ObjectKey.java
@@ -1,10 +1,10 @@
 package org.marjoramsail.core.configuration;
 
 /**
- * Names one object of a configuration.
+ * Identifies one object of a configuration.
  *
- * @param kind what it is
- * @param name unique among the objects of that kind
+ * @param kind the kind of the object
+ * @param name the name of the object; unique among the objects of its kind
  */
 public record ObjectKey(ObjectKind kind, String name) {
 
--- a/core/src/main/java/org/marjoramsail/core/configuration/ObjectKind.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ObjectKind.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.function.Function;
 
-/** The kinds of objects that a configuration is made of. */
+/** Kind of a configuration object. */
 public enum ObjectKind {
   SERVICE(Configuration::services),
   MODEL(Configuration::models),
@@ -12,7 +12,7 @@
   RULE(Configuration::rules),
   ORGANISATION(Configuration::organisations);
 
-  // A method reference without state; the checker cannot see that it is immutable.
+  // The method references are stateless; the checker cannot detect that they are immutable.
   @SuppressWarnings("ImmutableEnumChecker")
   private final Function<Configuration, List<? extends ConfigurationObject>> objects;
 
@@ -20,12 +20,12 @@
     this.objects = objects;
   }
 
-  /** The objects of this kind, in their order. */
+  /** Returns the objects of this kind, in their order. */
   public List<? extends ConfigurationObject> in(Configuration configuration) {
     return objects.apply(configuration);
   }
 
-  /** The kind in lower case, as operators see it. */
+  /** Returns the kind in lower case, as it appears to operators. */
   public String code() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/core/src/main/java/org/marjoramsail/core/configuration/OrderId.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/OrderId.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one change that an operator ordered; the operator's side chooses it, so that a change whose
- * answer was lost can be sent again without taking effect twice.
+ * Identifier of a change that an operator ordered. The operator's client chooses it, so that it can
+ * repeat a change whose response was lost without applying it twice.
  */
 public record OrderId(@JsonValue String value) {
 
--- a/core/src/main/java/org/marjoramsail/core/configuration/OrderRecord.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/OrderRecord.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * What is remembered of an accepted change, in the same object as the configuration that it made.
+ * Record of an accepted change, stored in the same object as the resulting configuration.
  *
- * @param order names the change
- * @param revision the revision that it made
- * @param author who ordered it
- * @param summary what it was for
- * @param acceptedAtMillis wall-clock time of its acceptance, for people only
- * @param touched the objects that it changed; empty when there were too many to remember
+ * @param order the identifier of the change
+ * @param revision the revision that it created
+ * @param author the operator who ordered it
+ * @param summary the purpose of the change, as stated by the operator
+ * @param acceptedAtMillis wall-clock time of its acceptance; for display only
+ * @param touched the objects that it changed; empty if there were too many to record
  */
 public record OrderRecord(
     OrderId order,
@@ -21,12 +21,12 @@
     long acceptedAtMillis,
     List<ObjectKey> touched) {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the list to make the record immutable. */
   public OrderRecord {
     touched = List.copyOf(touched);
   }
 
-  /** Whether the change may have changed one of these objects. */
+  /** Returns whether the change may have changed one of these objects. */
   boolean overlaps(Collection<ObjectKey> objects) {
     return touched.isEmpty() || objects.isEmpty() || touched.stream().anyMatch(objects::contains);
   }
--- a/core/src/main/java/org/marjoramsail/core/configuration/OrganisationDefinition.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/OrganisationDefinition.java
@@ -4,19 +4,19 @@
 import java.util.Optional;
 
 /**
- * An organisation whose callers may use services.
+ * Definition of an organisation whose callers may use services.
  *
- * @param name unique
+ * @param name unique name of the organisation
  * @param tokenHashes SHA-256 of each bearer token of its callers, in hexadecimal
  * @param services the services that it may use; empty for all
  * @param weight its share of a full pool, relative to other organisations; more than zero
- * @param maximumConcurrency how many of its requests may run at once, over all daemons
- * @param requestsPerSecond how many requests it may start in a second, over all daemons
- * @param tokensPerSecond how many prompt and output tokens it may use in a second, over all daemons
- * @param burst how many requests or tokens it may use at once beyond its rate; as many as its rate
- *     allows in a second where it is absent
- * @param tokensPerPlainRequest what a request without a prompt counts for where tokens are counted;
- *     nothing where it is absent
+ * @param maximumConcurrency maximum number of its concurrent requests, over all daemons
+ * @param requestsPerSecond maximum rate of its requests, over all daemons
+ * @param tokensPerSecond maximum rate of its prompt and output tokens, over all daemons
+ * @param burst number of requests or tokens that it may use at once beyond its rate; if empty, as
+ *     many as its rate allows in a second
+ * @param tokensPerPlainRequest number of tokens that a request without a prompt counts for; zero if
+ *     empty
  */
 public record OrganisationDefinition(
     String name,
@@ -30,13 +30,13 @@
     Optional<Integer> tokensPerPlainRequest)
     implements ConfigurationObject {
 
-  /** Copies the lists, so that the value cannot change. */
+  /** Copies the lists to make the record immutable. */
   public OrganisationDefinition {
     tokenHashes = List.copyOf(tokenHashes);
     services = List.copyOf(services);
   }
 
-  /** An organisation whose bursts are as long as a second, and whose plain requests are free. */
+  /** Creates an organisation with bursts of one second, whose plain requests count no tokens. */
   public OrganisationDefinition(
       String name,
       List<String> tokenHashes,
@@ -57,7 +57,7 @@
         Optional.empty());
   }
 
-  /** The same with another share of a full pool. */
+  /** Returns a copy with this weight. */
   OrganisationDefinition withWeight(double newWeight) {
     return new OrganisationDefinition(
         name,
@@ -71,7 +71,7 @@
         tokensPerPlainRequest);
   }
 
-  /** What a request counts for against the limit in tokens. */
+  /** Returns the number of tokens that a request counts for against the rate limit. */
   public int countedTokens(int promptTokens, int outputTokens) {
     int requestTokens = promptTokens + outputTokens;
     return requestTokens > 0 ? requestTokens : tokensPerPlainRequest.orElse(0);
--- a/core/src/main/java/org/marjoramsail/core/configuration/OrganisationKeys.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/OrganisationKeys.java
@@ -13,20 +13,20 @@
 import java.util.TreeSet;
 
 /**
- * Finds the organisation that holds a caller's key.
+ * Index of organisations by the keys of their callers.
  *
- * <p>Only digests are kept. A key is looked up by its digest, so that the time of a lookup tells
- * nothing of how much of a guessed key is right.
+ * <p>Only digests are stored. Keys are looked up by digest, so that the duration of a lookup does
+ * not reveal how much of a guessed key is correct.
  */
 public final class OrganisationKeys {
 
-  /** Keys of no organisation. */
+  /** An index without keys. */
   public static final OrganisationKeys NONE = new OrganisationKeys(List.of());
 
   private final Map<String, OrganisationDefinition> byDigest = new HashMap<>();
   private final Collection<String> withDuplicateKeys = new TreeSet<>();
 
-  /** Indexes the keys of organisations; of two that hold the same key the first holds it. */
+  /** Indexes the keys of organisations; a key of two organisations belongs to the first. */
   public OrganisationKeys(List<OrganisationDefinition> organisations) {
     for (OrganisationDefinition organisation : organisations) {
       for (String digest : organisation.tokenHashes()) {
@@ -39,22 +39,22 @@
     }
   }
 
-  /** The digest by which a key is stored. */
+  /** Returns the digest by which a key is stored. */
   public static String digestOf(String key) {
     try {
       MessageDigest digest = MessageDigest.getInstance("SHA-256");
       return HexFormat.of().formatHex(digest.digest(key.getBytes(StandardCharsets.UTF_8)));
     } catch (NoSuchAlgorithmException missing) {
-      throw new IllegalStateException("Every Java platform has SHA-256.", missing);
+      throw new IllegalStateException("SHA-256 is not available.", missing);
     }
   }
 
-  /** The organisation that holds a key. */
+  /** Returns the organisation that a key belongs to, if any. */
   public Optional<OrganisationDefinition> holderOf(String key) {
     return Optional.ofNullable(byDigest.get(digestOf(key)));
   }
 
-  /** Names of organisations that state a key which another one before them holds. */
+  /** Returns the names of organisations with a key that belongs to a preceding organisation. */
   public Collection<String> organisationsWithDuplicateKeys() {
     return List.copyOf(withDuplicateKeys);
   }
--- a/core/src/main/java/org/marjoramsail/core/configuration/RecentDeltas.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/RecentDeltas.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The latest steps of one daemon from revision to revision, bounded in number and size. */
+/** Latest deltas between successive revisions of one daemon, limited in number and size. */
 final class RecentDeltas {
 
   private static final int MAXIMUM_DELTAS = 64;
@@ -16,7 +16,10 @@
 
   private final Deque<RevisionDelta> deltas = new ArrayDeque<>();
 
-  /** Remembers a step; one that no delta can express makes older ones useless. */
+  /**
+   * Records the delta between two successive revisions. If no small delta exists, the older ones
+   * are discarded, since they no longer form a chain to the newest revision.
+   */
   void recordStep(Configuration before, Configuration after) {
     Optional<RevisionDelta> delta = deltaBetween(before, after);
     if (delta.isEmpty()) {
@@ -29,12 +32,15 @@
     }
   }
 
-  /** The newest step alone; empty when no delta expresses it. */
+  /** Returns the latest delta alone; empty if there is none. */
   List<RevisionDelta> lastStep() {
     return deltas.isEmpty() ? List.of() : List.of(deltas.getLast());
   }
 
-  /** The steps from a revision to the newest; empty when they are too many or not known. */
+  /**
+   * Returns the deltas from a revision to the newest one; empty if they are too many or not
+   * recorded.
+   */
   List<RevisionDelta> deltasSince(long revision) {
     List<RevisionDelta> chain = new ArrayList<>();
     int operations = 0;
--- a/core/src/main/java/org/marjoramsail/core/configuration/RevisionDelta.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/RevisionDelta.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * What leads from one revision to a later one.
+ * Operations that convert one revision into a later one.
  *
  * @param baseRevision the revision that it applies to
- * @param revision the revision that it makes
- * @param checksum of the configuration that it makes, against a delta that leads elsewhere
- * @param operations the steps
+ * @param revision the revision that results
+ * @param checksum checksum of the resulting configuration, to detect a wrong result
+ * @param operations the operations, in order
  */
 public record RevisionDelta(
     long baseRevision, long revision, long checksum, List<ConfigurationOperation> operations) {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the list to make the record immutable. */
   public RevisionDelta {
     operations = List.copyOf(operations);
   }
--- a/core/src/main/java/org/marjoramsail/core/configuration/RevisionDeltaMessage.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/RevisionDeltaMessage.java
@@ -4,13 +4,14 @@
 import org.marjoramsail.core.message.PeerMessage;
 
 /**
- * Brings a daemon that has the first base to the last revision.
+ * Message with a chain of deltas, which updates a daemon from the first base revision to the last
+ * revision.
  *
- * @param deltas each applies to what the one before it makes
+ * @param deltas the deltas; each applies to the result of the preceding one
  */
 public record RevisionDeltaMessage(List<RevisionDelta> deltas) implements PeerMessage {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the list to make the record immutable. */
   public RevisionDeltaMessage {
     deltas = List.copyOf(deltas);
   }
--- a/core/src/main/java/org/marjoramsail/core/configuration/RevisionDigestMessage.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/RevisionDigestMessage.java
@@ -3,8 +3,9 @@
 import org.marjoramsail.core.message.PeerMessage;
 
 /**
- * Says which revision a daemon has; whoever has the older one gets the newer.
+ * Message with the revision that the sender has. If the receiver has a newer one, it sends it; if
+ * it has an older one, it requests the newer one.
  *
- * @param revision zero for none
+ * @param revision the revision; zero for none
  */
 public record RevisionDigestMessage(long revision) implements PeerMessage {}
--- a/core/src/main/java/org/marjoramsail/core/configuration/RevisionFullMessage.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/RevisionFullMessage.java
@@ -3,9 +3,9 @@
 import org.marjoramsail.core.message.PeerMessage;
 
 /**
- * A whole configuration, for a daemon that no delta reaches.
+ * Message with a complete configuration, for a daemon that cannot be updated by deltas.
  *
- * @param revision its revision
- * @param packed the configuration as a {@link ConfigurationPacker} packs it
+ * @param revision the revision of the configuration
+ * @param packed the configuration, serialised by a {@link ConfigurationPacker}
  */
 public record RevisionFullMessage(long revision, String packed) implements PeerMessage {}
--- a/core/src/main/java/org/marjoramsail/core/configuration/RevisionRequestMessage.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/RevisionRequestMessage.java
@@ -3,8 +3,8 @@
 import org.marjoramsail.core.message.PeerMessage;
 
 /**
- * Asks for whatever is newer.
+ * Request for a newer revision.
  *
- * @param haveRevision what the asking daemon has; zero for none
+ * @param haveRevision the revision that the requesting daemon has; zero for none
  */
 public record RevisionRequestMessage(long haveRevision) implements PeerMessage {}
--- a/core/src/main/java/org/marjoramsail/core/configuration/RevisionSource.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/RevisionSource.java
@@ -1,13 +1,13 @@
 package org.marjoramsail.core.configuration;
 
-/** Where a daemon learned a revision. */
+/** Source of the newest revision of a daemon. */
 public enum RevisionSource {
-  /** It has none yet. */
+  /** The daemon has no revision yet. */
   NONE,
-  /** It accepted the change itself. */
+  /** The daemon accepted the change itself. */
   ACCEPTANCE,
-  /** It read or watched the store. */
+  /** The daemon read the revision from the store. */
   STORE,
-  /** Another daemon told it. */
+  /** Another daemon sent the revision. */
   PEER
 }
--- a/core/src/main/java/org/marjoramsail/core/configuration/RevisionStatusMessage.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/RevisionStatusMessage.java
@@ -3,11 +3,11 @@
 import org.marjoramsail.core.message.PeerMessage;
 
 /**
- * Says which revision is in force.
+ * Response with the revision in force on a daemon.
  *
- * @param question the question that it answers
- * @param revision zero for none
- * @param source where the daemon learned it
+ * @param question identifier of the request
+ * @param revision the revision; zero for none
+ * @param source the source of the revision
  */
 public record RevisionStatusMessage(long question, long revision, RevisionSource source)
     implements PeerMessage {}
--- a/core/src/main/java/org/marjoramsail/core/configuration/RevisionStatusRequestMessage.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/RevisionStatusRequestMessage.java
@@ -3,8 +3,8 @@
 import org.marjoramsail.core.message.PeerMessage;
 
 /**
- * Asks which revision is in force, for an operator.
+ * Request for the revision in force on a daemon, on behalf of an operator.
  *
- * @param question repeated in the answer
+ * @param question identifier of the request; repeated in the response
  */
 public record RevisionStatusRequestMessage(long question) implements PeerMessage {}
--- a/core/src/main/java/org/marjoramsail/core/configuration/RevisionSurvey.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/RevisionSurvey.java
@@ -9,18 +9,18 @@
 import org.marjoramsail.core.membership.MembershipView;
 import org.marjoramsail.core.model.DaemonId;
 
-/** Gathers on which daemons a revision is in force; called under a lock of its owner. */
+/** Collects from daemons whether a revision is in force; callers have to hold a lock. */
 public final class RevisionSurvey {
 
   private final long revision;
   private final Map<DaemonId, Optional<Long>> revisions = new TreeMap<>();
 
   /**
-   * Begins a survey of the daemons that can be reached.
+   * Starts a survey of the reachable daemons.
    *
-   * @param revision the revision asked about
-   * @param own what is in force on the asking daemon
-   * @param view the daemons
+   * @param revision the requested revision
+   * @param own the revision in force on the requesting daemon
+   * @param view the members of the cluster
    */
   public RevisionSurvey(long revision, long own, MembershipView view) {
     this.revision = revision;
@@ -31,7 +31,7 @@
     revisions.put(view.self().id(), Optional.of(own));
   }
 
-  /** The daemons that have not said that the revision is in force. */
+  /** Returns the daemons that have not yet confirmed that the revision is in force. */
   public List<DaemonId> outstanding() {
     List<DaemonId> outstanding = new ArrayList<>();
     revisions.forEach(
@@ -43,13 +43,13 @@
     return outstanding;
   }
 
-  /** Handles an answer; one of a daemon that was not asked does nothing. */
+  /** Records the response of a daemon; ignores daemons that are not part of the survey. */
   public void recordResponse(DaemonId from, long received) {
     revisions.computeIfPresent(
         from, (daemon, earlier) -> Optional.of(Math.max(received, earlier.orElse(0L))));
   }
 
-  /** What is known so far. */
+  /** Returns the result so far. */
   public InForceReport report() {
     List<InForceReport.Lagging> lagging =
         outstanding().stream()
--- a/core/src/main/java/org/marjoramsail/core/configuration/RuleDefinition.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/RuleDefinition.java
@@ -5,18 +5,18 @@
 import org.marjoramsail.core.model.ServiceClass;
 
 /**
- * Says how requests of one kind are served.
+ * Rule that defines how matching requests of a service are served.
  *
- * @param name unique
- * @param service the service whose requests it may match
- * @param method the HTTP method that it matches; any when absent
- * @param pathPrefix the path prefix below the service that it matches; any when absent
- * @param serviceClass how urgent they are
- * @param repeatability whether they may run more than once
- * @param firstTokenTargetMillis target for the first token or the whole plain answer
- * @param perTokenTargetMillis target between tokens
- * @param deadlineMillis when a request must be answered, after its arrival
- * @param storeOutagePolicy what to do while a claim cannot be recorded
+ * @param name unique name of the rule
+ * @param service the service whose requests the rule may match
+ * @param method the HTTP method that it matches; any if empty
+ * @param pathPrefix the path prefix below the service that it matches; any if empty
+ * @param serviceClass urgency of the requests
+ * @param repeatability whether the requests may run more than once
+ * @param firstTokenTargetMillis latency target for the first token or the complete plain response
+ * @param perTokenTargetMillis latency target between tokens
+ * @param deadlineMillis deadline for the response, counted from the arrival of the request
+ * @param storeOutagePolicy behaviour while claims cannot be recorded in the store
  */
 public record RuleDefinition(
     String name,
--- a/core/src/main/java/org/marjoramsail/core/configuration/ServiceDefinition.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ServiceDefinition.java
@@ -3,11 +3,12 @@
 import java.util.Optional;
 
 /**
- * A service that callers can ask for.
+ * Definition of a service that callers can use.
  *
- * @param name unique; callers name it in the path, or as the model of a completion
- * @param kind what stands behind it
- * @param model the model that its engines run; present when {@code kind} is {@code MODEL}
+ * @param name unique name of the service; callers state it in the path, or as the model of a
+ *     completion request
+ * @param kind the kind of its upstreams
+ * @param model the model that its engines run; present if {@code kind} is {@code MODEL}
  */
 public record ServiceDefinition(String name, ServiceKind kind, Optional<String> model)
     implements ConfigurationObject {
--- a/core/src/main/java/org/marjoramsail/core/configuration/ServiceKind.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/ServiceKind.java
@@ -1,9 +1,9 @@
 package org.marjoramsail.core.configuration;
 
-/** What stands behind a service. */
+/** Kind of the upstreams of a service. */
 public enum ServiceKind {
   /** Model engines in a prefill and a decode pool. */
   MODEL,
-  /** Servers that answer one HTTP request with one HTTP response. */
+  /** Servers that respond to one HTTP request with one HTTP response. */
   PLAIN
 }
--- a/core/src/main/java/org/marjoramsail/core/configuration/StoreOutagePolicy.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/StoreOutagePolicy.java
@@ -1,12 +1,12 @@
 package org.marjoramsail.core.configuration;
 
-/** What becomes of a keyed at-most-once request while its claim cannot be recorded. */
+/** Handling of an at-most-once request with a key while its claim cannot be recorded. */
 public enum StoreOutagePolicy {
-  /** Refuse it truthfully as not run; the default, since it never risks a second run. */
+  /** Refuse the request as not run; the default, since the request can never run twice. */
   REFUSE,
   /**
-   * Run it without a claim; a repeat with the same key during the outage may run it again, so this
-   * is for requests whose second run does little harm.
+   * Run the request without a claim. A repeated request with the same key may run again during the
+   * outage, so this is for requests whose second run does little harm.
    */
   RUN_UNCLAIMED
 }
--- a/core/src/main/java/org/marjoramsail/core/configuration/UpstreamDefinition.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/UpstreamDefinition.java
@@ -6,20 +6,20 @@
 import org.marjoramsail.core.model.UpstreamRole;
 
 /**
- * One server.
+ * Definition of one upstream.
  *
- * @param name unique
- * @param service the service that it belongs to
- * @param role what it does; for engines the role that it should have
+ * @param name unique name of the upstream
+ * @param service the service that it serves
+ * @param role its role; for an engine, the role that it should have
  * @param address an IP number
  * @param port a TCP port
- * @param availabilityZone where it stands
+ * @param availabilityZone its availability zone
  * @param region the region of that availability zone
- * @param slots how many requests it holds at once
- * @param fenced whether it refuses orders that carry an old fencing token
- * @param drained whether an operator has taken it out of service
- * @param memoryTokens how many tokens of KV cache it holds at once, where that is known
- * @param startedAtMillis which life of it is meant, where that is known; see {@link Incarnation}
+ * @param slots maximum number of its concurrent requests
+ * @param fenced whether it refuses commands with an outdated fencing token
+ * @param drained whether an operator has drained it
+ * @param memoryTokens capacity of its KV cache in tokens, if known
+ * @param startedAtMillis start time of the incarnation, if known; see {@link Incarnation}
  */
 public record UpstreamDefinition(
     UpstreamName name,
@@ -36,7 +36,7 @@
     Optional<Long> startedAtMillis)
     implements ConfigurationObject {
 
-  /** A server whose memory is not known, so that only its slots bound what it holds. */
+  /** Creates an upstream with unknown memory and start time, limited by its slots alone. */
   public UpstreamDefinition(
       UpstreamName name,
       String service,
@@ -63,12 +63,12 @@
         Optional.empty());
   }
 
-  /** The same server, holding so many requests and tokens at once. */
+  /** Returns a copy with this capacity. */
   public UpstreamDefinition withCapacity(int newSlots, Optional<Integer> newMemoryTokens) {
     return copy(newSlots, newMemoryTokens, startedAtMillis);
   }
 
-  /** The same server in the life that began then. */
+  /** Returns a copy with this start time. */
   public UpstreamDefinition withStartTime(long newStartedAtMillis) {
     return copy(slots, memoryTokens, Optional.of(newStartedAtMillis));
   }
@@ -90,7 +90,7 @@
         newStartedAtMillis);
   }
 
-  /** The life of the server that is meant. */
+  /** Returns the incarnation of this upstream. */
   public Incarnation incarnation() {
     return new Incarnation(name, startedAtMillis.orElse(Incarnation.UNKNOWN_START));
   }
--- a/core/src/main/java/org/marjoramsail/core/configuration/WatcherSelection.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/WatcherSelection.java
@@ -7,14 +7,15 @@
 import org.marjoramsail.core.membership.Member;
 import org.marjoramsail.core.membership.MembershipView;
 
-/** Chooses the daemons of a region that watch the store, the same on each daemon. */
+/** Selects the daemons of a region that watch the store; the result is equal on all daemons. */
 final class WatcherSelection {
 
   private WatcherSelection() {}
 
   /**
-   * The daemons of a region that should watch: the lowest by rank, and the lowest of another
-   * availability zone where there is one, so that one zone cut off from the store stops neither.
+   * Returns the daemons of a region that should watch: the one with the lowest rank, and the one
+   * with the lowest rank in another availability zone, if there is one. An availability zone
+   * without access to the store then leaves one watcher.
    */
   static List<Member> select(MembershipView view, String region) {
     List<Member> ranked = new ArrayList<>(view.eligibleInRegion(region));
--- a/core/src/main/java/org/marjoramsail/core/configuration/package-info.java
+++ b/core/src/main/java/org/marjoramsail/core/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** What operators configure: one revision is one immutable value. */
+/** Configuration by operators: immutable revisions, changes to them and their distribution. */
 package org.marjoramsail.core.configuration;
--- a/core/src/test/java/org/marjoramsail/core/configuration/ChangeAcceptorTest.java
+++ b/core/src/test/java/org/marjoramsail/core/configuration/ChangeAcceptorTest.java
@@ -28,8 +28,8 @@
 
   @Test
   void aSecondChangeOfTheSameObjectIsRefusedAsAConflictThatNamesTheFirst() {
-    // Ana and Bea look at revision 7. Ana raises the deadline of a rule and is accepted. Bea, who
-    // has not seen it, orders another deadline. Taking hers would undo Ana's unseen.
+    // Guards against a lost update: both changes are based on revision 7, and accepting the second
+    // would silently undo the first.
     ConfigurationRoot root = new ConfigurationRoot(configuration(), List.of());
     ConfigurationRoot changed = after(root, change("ana-1", put(rule("filings", 90_000))));
 
@@ -76,8 +76,8 @@
 
   @Test
   void aChangeIsRefusedWhileTheStoreIsOlderThanTheRevisionInForce() {
-    // The platform restores its store from a backup. The root is old, and a change accepted on it
-    // would give a revision number a second time with other content.
+    // Guards against reusing a revision number for other content after the store was restored from
+    // a backup.
     ConfigurationRoot root = new ConfigurationRoot(configuration(), List.of());
 
     AcceptanceStep step =
--- a/core/src/test/java/org/marjoramsail/core/configuration/ConfigurationEditorTest.java
+++ b/core/src/test/java/org/marjoramsail/core/configuration/ConfigurationEditorTest.java
@@ -116,8 +116,8 @@
 
   @Test
   void aRestoredRevisionKeepsTheOrderOfItsRules() {
-    // The first rule that matches serves a request. If a restored rule came last, a ballot would be
-    // served as something that may be repeated.
+    // The first matching rule applies to a request. If a restored rule came last, an at-most-once
+    // request could match a rule that allows repeats.
     Configuration old =
         ((EditResult.Edited)
                 ConfigurationEditor.apply(
--- a/core/src/test/java/org/marjoramsail/core/configuration/FairWeightsTest.java
+++ b/core/src/test/java/org/marjoramsail/core/configuration/FairWeightsTest.java
@@ -9,8 +9,8 @@
 class FairWeightsTest {
 
   /**
-   * Callers of a route that is open to all were refused in every burst, while callers with keys
-   * were served: the rates of organisations stood as their weights beside the one of those without.
+   * Guards against starving callers without an organisation, whose weight is 1: the weights of
+   * organisations must not be their rate limits.
    */
   @Test
   void organisationsWithoutARateGetTheMeanWeight() {
--- a/core/src/test/java/org/marjoramsail/core/configuration/SampleConfiguration.java
+++ b/core/src/test/java/org/marjoramsail/core/configuration/SampleConfiguration.java
@@ -7,7 +7,7 @@
 import org.marjoramsail.core.model.UpstreamName;
 import org.marjoramsail.core.model.UpstreamRole;
 
-/** Objects for tests. */
+/** Sample configuration objects for tests. */
 final class SampleConfiguration {
 
   static final ServiceDefinition LECTOR =
