--- a/core/src/main/java/org/marjoramsail/core/membership/MemberEntry.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/MemberEntry.java
@@ -15,12 +15,12 @@
     return update.id();
   }
 
-  boolean isGone() {
+  boolean isInactive() {
     return update.health() == Health.DEAD || update.departure() == Departure.LEFT;
   }
 
   boolean isSuspect() {
-    return update.health() == Health.SUSPECT && !isGone();
+    return update.health() == Health.SUSPECT && !isInactive();
   }
 
   MemberEntry withHealth(Health health, long nowMillis) {
@@ -35,7 +35,7 @@
     return new MemberEntry(update(version, Health.ALIVE, update.departure()), sinceMillis);
   }
 
-  MemberEntry since(long nowMillis) {
+  MemberEntry withChangeTime(long nowMillis) {
     return new MemberEntry(update, nowMillis);
   }
 
@@ -48,20 +48,20 @@
    * that had the time to hear its refutation. Otherwise two sides of a network cut would drop their
    * own neighbours on the word of the other side as soon as they merge.
    */
-  MemberEntry join(MemberUpdate heard, long nowMillis) {
+  MemberEntry merge(MemberUpdate received, long nowMillis) {
     Departure departure =
-        heard.departure().compareTo(update.departure()) > 0
-            ? heard.departure()
+        received.departure().compareTo(update.departure()) > 0
+            ? received.departure()
             : update.departure();
-    Health heardHealth = heard.health();
-    if (heardHealth == Health.DEAD && update.health() != Health.DEAD) {
-      heardHealth = Health.SUSPECT;
+    Health receivedHealth = received.health();
+    if (receivedHealth == Health.DEAD && update.health() != Health.DEAD) {
+      receivedHealth = Health.SUSPECT;
     }
-    boolean newer = heard.version() > update.version();
+    boolean newer = received.version() > update.version();
     boolean worse =
-        heard.version() == update.version() && heardHealth.compareTo(update.health()) > 0;
-    int version = Math.max(heard.version(), update.version());
-    Health health = newer || worse ? heardHealth : update.health();
+        received.version() == update.version() && receivedHealth.compareTo(update.health()) > 0;
+    int version = Math.max(received.version(), update.version());
+    Health health = newer || worse ? receivedHealth : update.health();
     boolean changed = health != update.health() || departure != update.departure();
     return new MemberEntry(
         update(version, health, departure), changed || newer ? nowMillis : sinceMillis);
@@ -96,7 +96,7 @@
 
   /** Equal where two daemons agree; suspicions pass too soon to be compared. */
   long digest() {
-    if (isGone()) {
+    if (isInactive()) {
       return 0;
     }
     return Hashing.xxh3_64()
--- a/core/src/main/java/org/marjoramsail/core/membership/MemberTable.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/MemberTable.java
@@ -24,7 +24,7 @@
   private final Map<String, List<String>> reachableByRegion = new HashMap<>();
   private final long[] buckets = new long[BUCKETS];
   private boolean listsStale = true;
-  private int live;
+  private int activeCount;
 
   MemberTable(MemberUpdate self, long nowMillis) {
     this.self = self.host();
@@ -52,8 +52,9 @@
     if (previous != null) {
       buckets[bucket] ^= previous.digest();
     }
-    live += (entry.isGone() ? 0 : 1) - (previous == null || previous.isGone() ? 0 : 1);
-    listsStale |= previous == null || previous.isGone() != entry.isGone();
+    activeCount +=
+        (entry.isInactive() ? 0 : 1) - (previous == null || previous.isInactive() ? 0 : 1);
+    listsStale |= previous == null || previous.isInactive() != entry.isInactive();
     listsStale |= previous != null && !previous.update().region().equals(entry.update().region());
     if (entry.isSuspect()) {
       suspects.add(host);
@@ -63,8 +64,8 @@
   }
 
   /** Daemons that are neither dead nor gone, with this one. */
-  int live() {
-    return live;
+  int activeCount() {
+    return activeCount;
   }
 
   boolean hasSuspects() {
@@ -108,34 +109,34 @@
     return differing;
   }
 
-  List<MemberUpdate> inBuckets(List<Integer> wanted) {
-    Set<Integer> set = Set.copyOf(wanted);
+  List<MemberUpdate> inBuckets(List<Integer> requested) {
+    Set<Integer> bucketSet = Set.copyOf(requested);
     return entries.values().stream()
         .map(MemberEntry::update)
-        .filter(update -> set.contains(bucket(update.host())))
+        .filter(update -> bucketSet.contains(bucket(update.host())))
         .toList();
   }
 
   /** Forgets daemons that were dead or gone before a moment; gives whether there were any. */
-  boolean forgetGoneBefore(long millis) {
+  boolean removeInactiveBefore(long millis) {
     return entries
         .values()
         .removeIf(
             entry ->
-                entry.isGone()
+                entry.isInactive()
                     && entry.sinceMillis() < millis
                     && !entry.update().host().equals(self));
   }
 
-  List<MemberEntry> gone() {
-    return entries.values().stream().filter(MemberEntry::isGone).toList();
+  List<MemberEntry> inactive() {
+    return entries.values().stream().filter(MemberEntry::isInactive).toList();
   }
 
   /** The addresses at which a daemon is known to run. */
-  Set<PeerAddress> liveAddresses() {
+  Set<PeerAddress> activeAddresses() {
     Set<PeerAddress> addresses = new LinkedHashSet<>();
     for (MemberEntry entry : entries.values()) {
-      if (!entry.isGone()) {
+      if (!entry.isInactive()) {
         addresses.add(entry.update().listening());
       }
     }
@@ -157,7 +158,7 @@
     listsStale = false;
     reachableByRegion.clear();
     for (MemberEntry entry : entries.values()) {
-      if (!entry.isGone() && !entry.update().host().equals(self)) {
+      if (!entry.isInactive() && !entry.update().host().equals(self)) {
         reachableByRegion
             .computeIfAbsent(entry.update().region(), region -> new ArrayList<>())
             .add(entry.update().host());
--- a/core/src/main/java/org/marjoramsail/core/membership/MembershipProtocol.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/MembershipProtocol.java
@@ -178,7 +178,7 @@
 
   /** Tells that this daemon is gone; the shell stops once the messages are sent. */
   public List<MembershipAction> left(long nowMillis) {
-    return depart(Departure.LEFT, settings.transmissions(table.live()), nowMillis);
+    return depart(Departure.LEFT, settings.transmissions(table.activeCount()), nowMillis);
   }
 
   private List<MembershipAction> depart(Departure departure, int pings, long nowMillis) {
@@ -209,7 +209,7 @@
     regions.paused();
     nextProbeMillis = nowMillis;
     for (MemberEntry suspect : table.suspects()) {
-      table.put(suspect.since(nowMillis));
+      table.put(suspect.withChangeTime(nowMillis));
     }
     hurry(HURRIED_PINGS);
   }
@@ -284,7 +284,7 @@
 
   /** Tells suspects that they are, so that those that run can refute it. */
   private void checkSuspects() {
-    double share = CHECKS_PER_SUSPECT / Math.max(CHECKS_PER_SUSPECT, table.live());
+    double share = CHECKS_PER_SUSPECT / Math.max(CHECKS_PER_SUSPECT, table.activeCount());
     for (MemberEntry suspect : table.suspects()) {
       if (random.nextDouble() < share) {
         check(suspect);
@@ -297,7 +297,7 @@
   }
 
   private void expireSuspicions(long nowMillis) {
-    long boundMillis = settings.suspicionMillis(table.live());
+    long boundMillis = settings.suspicionMillis(table.activeCount());
     for (MemberEntry suspect : table.suspects()) {
       boolean due = nowMillis - suspect.sinceMillis() >= boundMillis;
       if (due && regions.isReachable(suspect.update().region())) {
@@ -335,15 +335,15 @@
     if (nowMillis < nextSeedMillis) {
       return;
     }
-    boolean alone = table.live() == 1;
+    boolean alone = table.activeCount() == 1;
     nextSeedMillis =
         nowMillis + (alone ? settings.probePeriodMillis() : settings.seedPeriodMillis());
     Set<PeerAddress> candidates = new LinkedHashSet<>(seeds);
     candidates.addAll(hostList);
-    for (MemberEntry gone : table.gone()) {
+    for (MemberEntry gone : table.inactive()) {
       candidates.add(gone.update().listening());
     }
-    candidates.removeAll(table.liveAddresses());
+    candidates.removeAll(table.activeAddresses());
     if (!candidates.isEmpty()) {
       PeerAddress chosen = List.copyOf(candidates).get(random.nextInt(candidates.size()));
       actions.add(new SendToAddress(chosen, new PingMessage(++sequence, ownNews())));
@@ -378,7 +378,7 @@
   private void forget(long nowMillis) {
     if (nowMillis >= nextForgetMillis) {
       nextForgetMillis = nowMillis + FORGET_PERIOD_MILLIS;
-      changed |= table.forgetGoneBefore(nowMillis - settings.forgetMillis());
+      changed |= table.removeInactiveBefore(nowMillis - settings.forgetMillis());
     }
   }
 
@@ -395,7 +395,7 @@
   private void restartSuspicions(String region, long nowMillis) {
     for (MemberEntry suspect : table.suspects()) {
       if (suspect.update().region().equals(region)) {
-        table.put(suspect.since(nowMillis));
+        table.put(suspect.withChangeTime(nowMillis));
       }
     }
   }
@@ -448,7 +448,8 @@
     boolean known = table.find(from).isPresent();
     boolean old = table.find(from.host()).filter(e -> e.id().supersedes(from)).isPresent();
     if (!known && !old && nowMillis >= nextStrangerDigestMillis) {
-      nextStrangerDigestMillis = nowMillis + (table.live() == 1 ? 0 : STRANGER_DIGEST_MILLIS);
+      nextStrangerDigestMillis =
+          nowMillis + (table.activeCount() == 1 ? 0 : STRANGER_DIGEST_MILLIS);
       sendDigest(from);
     }
   }
@@ -491,9 +492,9 @@
     if (heard.id().supersedes(entry.id())) {
       adopt(new MemberEntry(heard, nowMillis));
     } else if (heard.id().equals(entry.id())) {
-      MemberEntry joined = entry.join(heard, nowMillis);
-      if (!joined.update().equals(entry.update())) {
-        adopt(joined);
+      MemberEntry merged = entry.merge(heard, nowMillis);
+      if (!merged.update().equals(entry.update())) {
+        adopt(merged);
       }
     }
   }
@@ -532,7 +533,7 @@
   }
 
   private boolean needsAnswer(MemberEntry sender) {
-    return sender.isGone() || sender.isSuspect();
+    return sender.isInactive() || sender.isSuspect();
   }
 
   /** News for a daemon, with what it is accused of first. */
@@ -549,7 +550,8 @@
   }
 
   private List<MemberUpdate> take(List<MemberUpdate> first) {
-    return news.take(first, settings.maximumUpdateBytes(), settings.transmissions(table.live()));
+    return news.take(
+        first, settings.maximumUpdateBytes(), settings.transmissions(table.activeCount()));
   }
 
   private void send(DaemonId to, PeerMessage message) {
--- a/core/src/main/java/org/marjoramsail/core/membership/ProbeSchedule.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/ProbeSchedule.java
@@ -64,7 +64,7 @@
       round.addAll(hosts);
     }
     while (!round.isEmpty()) {
-      Optional<MemberEntry> entry = table.find(round.poll()).filter(found -> !found.isGone());
+      Optional<MemberEntry> entry = table.find(round.poll()).filter(found -> !found.isInactive());
       if (entry.isPresent()) {
         return entry;
       }
--- a/core/src/test/java/org/marjoramsail/core/membership/MembershipFuzzTest.java
+++ b/core/src/test/java/org/marjoramsail/core/membership/MembershipFuzzTest.java
@@ -151,12 +151,12 @@
     MemberEntry forward = new MemberEntry(start, 0);
     MemberEntry backward = new MemberEntry(start, 0);
     for (int position = 0; position < beliefs.size(); position++) {
-      forward = forward.join(beliefs.get(position), 1);
-      backward = backward.join(beliefs.get(beliefs.size() - 1 - position), 1);
+      forward = forward.merge(beliefs.get(position), 1);
+      backward = backward.merge(beliefs.get(beliefs.size() - 1 - position), 1);
     }
     assertThat(forward.update()).isEqualTo(backward.update());
     for (MemberUpdate heard : beliefs) {
-      assertThat(forward.join(heard, 2).update()).isEqualTo(forward.update());
+      assertThat(forward.merge(heard, 2).update()).isEqualTo(forward.update());
     }
   }
 
