--- a/core/src/main/java/org/marjoramsail/core/membership/MembershipProtocol.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/MembershipProtocol.java
@@ -40,8 +40,8 @@
   private final MemberTable table;
   private final Dissemination news = new Dissemination();
   private final ProbeSchedule probes;
-  private final RegionWatch regions;
-  private final Relays relays = new Relays();
+  private final RegionReachability regions;
+  private final RelayedPings relays = new RelayedPings();
   private final MembershipCounts counts = new MembershipCounts();
 
   private List<PeerAddress> hostList = List.of();
@@ -75,7 +75,7 @@
     this.random = random;
     this.table = new MemberTable(self, nowMillis);
     this.probes = new ProbeSchedule(random);
-    this.regions = new RegionWatch(settings);
+    this.regions = new RegionReachability(settings);
     this.lastTickMillis = nowMillis;
     this.nextProbeMillis = nowMillis + random.nextLong(settings.probePeriodMillis());
     this.nextSeedMillis = nowMillis;
@@ -206,7 +206,7 @@
     counts.pauses++;
     probes.end();
     relays.clear();
-    regions.paused();
+    regions.reset();
     nextProbeMillis = nowMillis;
     for (MemberEntry suspect : table.suspects()) {
       table.put(suspect.withChangeTime(nowMillis));
@@ -322,7 +322,7 @@
       if (regions.isDue(region, nowMillis)) {
         MemberEntry target = randomIn(region).orElseThrow();
         send(target.id(), new PingMessage(++sequence, newsFor(target)));
-        changed |= regions.pinged(region, nowMillis);
+        changed |= regions.recordPing(region, nowMillis);
       }
     }
   }
@@ -384,7 +384,7 @@
 
   private void heard(DaemonId from, long nowMillis) {
     Optional<MemberEntry> entry = table.find(from);
-    if (entry.isPresent() && regions.heard(entry.get().update().region())) {
+    if (entry.isPresent() && regions.recordContact(entry.get().update().region())) {
       changed = true;
       restartSuspicions(entry.get().update().region(), nowMillis);
       sendDigest(from);
@@ -435,7 +435,7 @@
   private void relay(DaemonId from, PingRequestMessage request) {
     Optional<MemberEntry> target = table.find(request.target());
     long number = ++sequence;
-    relays.add(number, new Relays.Relay(from, request.sequence()));
+    relays.add(number, new RelayedPings.Relay(from, request.sequence()));
     List<MemberUpdate> updates = target.map(this::newsFor).orElseGet(() -> take(List.of()));
     send(request.target(), new PingMessage(number, updates));
   }
@@ -541,7 +541,7 @@
     return take(needsAnswer(receiver) ? List.of(receiver.update()) : List.of());
   }
 
-  private List<MemberUpdate> newsFor(Relays.Relay relay) {
+  private List<MemberUpdate> newsFor(RelayedPings.Relay relay) {
     return table.find(relay.requester()).map(this::newsFor).orElseGet(() -> take(List.of()));
   }
 
--- a/core/src/main/java/org/marjoramsail/core/membership/RegionWatch.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/RegionReachability.java
@@ -11,10 +11,10 @@
  * unreachable as a whole, keeps that to itself, and believes of each daemon there what its own
  * region says.
  */
-final class RegionWatch {
+final class RegionReachability {
 
   private static final class Status {
-    private boolean awaited;
+    private boolean responsePending;
     private long nextPingMillis;
     private int misses;
     private boolean reachable = true;
@@ -23,7 +23,7 @@
   private final MembershipSettings settings;
   private final Map<String, Status> regions = new HashMap<>();
 
-  RegionWatch(MembershipSettings settings) {
+  RegionReachability(MembershipSettings settings) {
     this.settings = settings;
   }
 
@@ -42,18 +42,18 @@
    *
    * @return whether the region has just become unreachable
    */
-  boolean pinged(String region, long nowMillis) {
+  boolean recordPing(String region, long nowMillis) {
     Status status = status(region, nowMillis);
-    if (status.awaited) {
+    if (status.responsePending) {
       status.misses++;
     }
-    status.awaited = true;
+    status.responsePending = true;
     boolean urgent = status.misses > 0 && status.reachable;
     status.nextPingMillis =
         nowMillis + (urgent ? settings.probePeriodMillis() : settings.otherRegionPeriodMillis());
-    boolean lost = status.reachable && status.misses >= settings.regionMisses();
-    status.reachable &= !lost;
-    return lost;
+    boolean becameUnreachable = status.reachable && status.misses >= settings.regionMisses();
+    status.reachable &= !becameUnreachable;
+    return becameUnreachable;
   }
 
   /**
@@ -61,22 +61,22 @@
    *
    * @return whether the region was unreachable until now
    */
-  boolean heard(String region) {
+  boolean recordContact(String region) {
     Status status = regions.get(region);
     if (status == null) {
       return false;
     }
-    boolean found = !status.reachable;
-    status.awaited = false;
+    boolean wasUnreachable = !status.reachable;
+    status.responsePending = false;
     status.misses = 0;
     status.reachable = true;
-    return found;
+    return wasUnreachable;
   }
 
   /** Takes no miss for granted that fell into a pause of this process. */
-  void paused() {
+  void reset() {
     for (Status status : regions.values()) {
-      status.awaited = false;
+      status.responsePending = false;
       status.misses = 0;
     }
   }
--- a/core/src/main/java/org/marjoramsail/core/membership/Relays.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/RelayedPings.java
@@ -6,7 +6,7 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /** Pings that this daemon sent for others, until they are answered or too old to matter. */
-final class Relays {
+final class RelayedPings {
 
   private static final int MAXIMUM = 256;
 
