--- a/core/src/main/java/org/marjoramsail/core/membership/MembershipProtocol.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/MembershipProtocol.java
@@ -23,22 +23,22 @@
 public final class MembershipProtocol {
 
   /** Each suspect is checked by about so many daemons in a period, however many there are. */
-  private static final double CHECKS_PER_SUSPECT = 8;
+  private static final double PINGS_PER_SUSPECT = 8;
 
-  private static final int HURRIED_PINGS = 3;
+  private static final int URGENT_PINGS = 3;
 
   /** Others that are told of a new suspicion at the next tick rather than at the next ping. */
   private static final int SUSPICION_PINGS = 2;
 
   private static final double OTHER_REGION_DIGEST_SHARE = 0.25;
-  private static final long FORGET_PERIOD_MILLIS = 10_000;
-  private static final long STRANGER_DIGEST_MILLIS = 500;
+  private static final long REMOVAL_PERIOD_MILLIS = 10_000;
+  private static final long UNKNOWN_SENDER_DIGEST_MILLIS = 500;
 
   private final MembershipSettings settings;
   private final List<PeerAddress> seeds;
   private final RandomGenerator random;
   private final MemberTable table;
-  private final Dissemination news = new Dissemination();
+  private final Dissemination dissemination = new Dissemination();
   private final ProbeSchedule probes;
   private final RegionReachability regions;
   private final RelayedPings relays = new RelayedPings();
@@ -47,7 +47,7 @@
   private List<PeerAddress> hostList = List.of();
   private List<MembershipAction> actions = new ArrayList<>();
   private boolean changed;
-  private boolean suspicionNews;
+  private boolean hasNewSuspicions;
   private Optional<DaemonId> successor = Optional.empty();
   private long sequence;
   private long lastTickMillis;
@@ -55,8 +55,8 @@
   private long nextProbeMillis;
   private long nextSeedMillis;
   private long nextDigestMillis;
-  private long nextForgetMillis;
-  private long nextStrangerDigestMillis;
+  private long nextRemovalMillis;
+  private long nextUnknownSenderDigestMillis;
 
   /**
    * Knows no daemon but its own.
@@ -80,9 +80,9 @@
     this.nextProbeMillis = nowMillis + random.nextLong(settings.probePeriodMillis());
     this.nextSeedMillis = nowMillis;
     this.nextDigestMillis = nowMillis + random.nextLong(settings.digestPeriodMillis());
-    this.nextForgetMillis = nowMillis + FORGET_PERIOD_MILLIS;
-    this.nextStrangerDigestMillis = nowMillis;
-    news.add(self);
+    this.nextRemovalMillis = nowMillis + REMOVAL_PERIOD_MILLIS;
+    this.nextUnknownSenderDigestMillis = nowMillis;
+    dissemination.add(self);
   }
 
   /** What is believed now. */
@@ -119,18 +119,18 @@
   public List<MembershipAction> tick(long nowMillis) {
     long lateMillis = nowMillis - lastTickMillis - expectedPauseMillis;
     if (lateMillis > settings.lateTickMillis() - MembershipSettings.TICK_MILLIS) {
-      paused(nowMillis);
+      resumeAfterPause(nowMillis);
     }
     probe(nowMillis);
     expireSuspicions(nowMillis);
     spreadSuspicions();
     pingOtherRegions(nowMillis);
-    trySeed(nowMillis);
-    compareState(nowMillis);
-    forget(nowMillis);
+    pingSeed(nowMillis);
+    compareDigests(nowMillis);
+    removeInactive(nowMillis);
     lastTickMillis = nowMillis;
     expectedPauseMillis = pauseMillis(nowMillis);
-    return finish();
+    return takeActions();
   }
 
   /**
@@ -148,46 +148,47 @@
 
   /** Handles a message of a proven sender. */
   public List<MembershipAction> receive(DaemonId from, PeerMessage message, long nowMillis) {
-    heard(from, nowMillis);
+    recordContact(from, nowMillis);
     if (message instanceof PingMessage ping) {
-      learn(ping.updates(), from, nowMillis);
-      answer(from, ping);
+      applyUpdates(ping.updates(), from, nowMillis);
+      acknowledge(from, ping);
     } else if (message instanceof AckMessage ack) {
-      learn(ack.updates(), from, nowMillis);
-      acknowledged(ack.sequence());
+      applyUpdates(ack.updates(), from, nowMillis);
+      handleAck(ack.sequence());
     } else if (message instanceof PingRequestMessage request) {
-      learn(request.updates(), from, nowMillis);
+      applyUpdates(request.updates(), from, nowMillis);
       relay(from, request);
     } else if (message instanceof DigestMessage digest) {
-      learn(digest.updates(), from, nowMillis);
+      applyUpdates(digest.updates(), from, nowMillis);
       sendDifference(from, digest);
     } else if (message instanceof StateMessage state) {
-      learn(state.members(), from, nowMillis);
+      applyUpdates(state.members(), from, nowMillis);
       if (state.answerWanted()) {
         send(from, new StateMessage(state.buckets(), table.inBuckets(state.buckets()), false));
       }
     }
-    askStranger(from, nowMillis);
-    return finish();
+    requestStateOfUnknownSender(from, nowMillis);
+    return takeActions();
   }
 
   /** Tells that this daemon takes over nothing any more. */
   public List<MembershipAction> leave(long nowMillis) {
-    return depart(Departure.LEAVING, HURRIED_PINGS, nowMillis);
+    return announceDeparture(Departure.LEAVING, URGENT_PINGS, nowMillis);
   }
 
   /** Tells that this daemon is gone; the shell stops once the messages are sent. */
-  public List<MembershipAction> left(long nowMillis) {
-    return depart(Departure.LEFT, settings.transmissions(table.activeCount()), nowMillis);
+  public List<MembershipAction> markLeft(long nowMillis) {
+    return announceDeparture(
+        Departure.LEFT, settings.transmissions(table.activeCount()), nowMillis);
   }
 
-  private List<MembershipAction> depart(Departure departure, int pings, long nowMillis) {
+  private List<MembershipAction> announceDeparture(Departure departure, int pings, long nowMillis) {
     adopt(table.self().withDeparture(departure, nowMillis));
-    hurry(pings);
-    return finish();
+    pingRandomMembers(pings);
+    return takeActions();
   }
 
-  private List<MembershipAction> finish() {
+  private List<MembershipAction> takeActions() {
     if (changed) {
       changed = false;
       actions.add(new Changed(view()));
@@ -202,7 +203,7 @@
    * whoever it had pinged, although their answers wait unread. So it drops what was under way and
    * gives each suspicion its whole time again.
    */
-  private void paused(long nowMillis) {
+  private void resumeAfterPause(long nowMillis) {
     counts.pauses++;
     probes.end();
     relays.clear();
@@ -211,18 +212,18 @@
     for (MemberEntry suspect : table.suspects()) {
       table.put(suspect.withChangeTime(nowMillis));
     }
-    hurry(HURRIED_PINGS);
+    pingRandomMembers(URGENT_PINGS);
   }
 
   private void probe(long nowMillis) {
     if (probes.current().isPresent()) {
-      follow(probes.current().get(), nowMillis);
+      checkProbe(probes.current().get(), nowMillis);
     }
     if (nowMillis < nextProbeMillis) {
       return;
     }
     nextProbeMillis = Math.max(nextProbeMillis + settings.probePeriodMillis(), nowMillis);
-    checkSuspects();
+    pingSuspects();
     probes.next(table).ifPresent(target -> beginProbe(target, nowMillis));
   }
 
@@ -230,10 +231,10 @@
     counts.probes++;
     long number = ++sequence;
     probes.begin(new Probe(target.id(), target.update().version(), number, nowMillis, false));
-    send(target.id(), new PingMessage(number, newsFor(target)));
+    send(target.id(), new PingMessage(number, updatesFor(target)));
   }
 
-  private void follow(Probe probe, long nowMillis) {
+  private void checkProbe(Probe probe, long nowMillis) {
     long waitedMillis = nowMillis - probe.startedMillis();
     if (waitedMillis >= settings.probePeriodMillis()) {
       probes.end();
@@ -243,30 +244,31 @@
       probes.begin(probe.asIndirect());
       for (MemberEntry helper : helpers(probe.target())) {
         send(
-            helper.id(), new PingRequestMessage(probe.sequence(), probe.target(), newsFor(helper)));
+            helper.id(),
+            new PingRequestMessage(probe.sequence(), probe.target(), updatesFor(helper)));
       }
     }
   }
 
   /** Others of the own region, those of other availability zones first: another path, if any. */
   private List<MemberEntry> helpers(DaemonId target) {
-    List<MemberEntry> elsewhere = new ArrayList<>();
-    List<MemberEntry> near = new ArrayList<>();
+    List<MemberEntry> otherZones = new ArrayList<>();
+    List<MemberEntry> sameZone = new ArrayList<>();
     String ownZone = table.self().update().availabilityZone();
     List<String> hosts = table.reachableIn(table.self().update().region());
-    int draws = Math.min(hosts.size(), settings.indirectProbes() * 4);
-    Set<String> drawn = new LinkedHashSet<>();
-    for (int draw = 0; draw < draws; draw++) {
-      drawn.add(hosts.get(random.nextInt(hosts.size())));
+    int samples = Math.min(hosts.size(), settings.indirectProbes() * 4);
+    Set<String> sampled = new LinkedHashSet<>();
+    for (int sample = 0; sample < samples; sample++) {
+      sampled.add(hosts.get(random.nextInt(hosts.size())));
     }
-    drawn.remove(target.host());
-    for (String host : drawn) {
+    sampled.remove(target.host());
+    for (String host : sampled) {
       MemberEntry entry = table.find(host).orElseThrow();
       boolean other = !entry.update().availabilityZone().equals(ownZone);
-      (other ? elsewhere : near).add(entry);
+      (other ? otherZones : sameZone).add(entry);
     }
-    elsewhere.addAll(near);
-    return elsewhere.subList(0, Math.min(elsewhere.size(), settings.indirectProbes()));
+    otherZones.addAll(sameZone);
+    return otherZones.subList(0, Math.min(otherZones.size(), settings.indirectProbes()));
   }
 
   private void suspect(Probe probe, long nowMillis) {
@@ -278,22 +280,22 @@
     if (entry.isPresent()) {
       MemberEntry suspect = entry.get().withHealth(Health.SUSPECT, nowMillis);
       adopt(suspect);
-      check(suspect);
+      pingSuspect(suspect);
     }
   }
 
   /** Tells suspects that they are, so that those that run can refute it. */
-  private void checkSuspects() {
-    double share = CHECKS_PER_SUSPECT / Math.max(CHECKS_PER_SUSPECT, table.activeCount());
+  private void pingSuspects() {
+    double share = PINGS_PER_SUSPECT / Math.max(PINGS_PER_SUSPECT, table.activeCount());
     for (MemberEntry suspect : table.suspects()) {
       if (random.nextDouble() < share) {
-        check(suspect);
+        pingSuspect(suspect);
       }
     }
   }
 
-  private void check(MemberEntry suspect) {
-    send(suspect.id(), new PingMessage(++sequence, newsFor(suspect)));
+  private void pingSuspect(MemberEntry suspect) {
+    send(suspect.id(), new PingMessage(++sequence, updatesFor(suspect)));
   }
 
   private void expireSuspicions(long nowMillis) {
@@ -311,9 +313,9 @@
    * to know of a death. Whoever hears of one tells others at once, all new ones together.
    */
   private void spreadSuspicions() {
-    if (suspicionNews) {
-      suspicionNews = false;
-      hurry(SUSPICION_PINGS);
+    if (hasNewSuspicions) {
+      hasNewSuspicions = false;
+      pingRandomMembers(SUSPICION_PINGS);
     }
   }
 
@@ -321,7 +323,7 @@
     for (String region : table.otherRegions()) {
       if (regions.isDue(region, nowMillis)) {
         MemberEntry target = randomIn(region).orElseThrow();
-        send(target.id(), new PingMessage(++sequence, newsFor(target)));
+        send(target.id(), new PingMessage(++sequence, updatesFor(target)));
         changed |= regions.recordPing(region, nowMillis);
       }
     }
@@ -331,7 +333,7 @@
    * Tries one address where no daemon is known to run: a seed, one of the platform's list, or that
    * of a daemon held for dead. This joins a new daemon, and joins again what a cut had separated.
    */
-  private void trySeed(long nowMillis) {
+  private void pingSeed(long nowMillis) {
     if (nowMillis < nextSeedMillis) {
       return;
     }
@@ -340,31 +342,31 @@
         nowMillis + (alone ? settings.probePeriodMillis() : settings.seedPeriodMillis());
     Set<PeerAddress> candidates = new LinkedHashSet<>(seeds);
     candidates.addAll(hostList);
-    for (MemberEntry gone : table.inactive()) {
-      candidates.add(gone.update().listening());
+    for (MemberEntry inactive : table.inactive()) {
+      candidates.add(inactive.update().listening());
     }
     candidates.removeAll(table.activeAddresses());
     if (!candidates.isEmpty()) {
       PeerAddress chosen = List.copyOf(candidates).get(random.nextInt(candidates.size()));
-      actions.add(new SendToAddress(chosen, new PingMessage(++sequence, ownNews())));
+      actions.add(new SendToAddress(chosen, new PingMessage(++sequence, ownUpdates())));
     }
   }
 
-  private void compareState(long nowMillis) {
+  private void compareDigests(long nowMillis) {
     if (nowMillis < nextDigestMillis) {
       return;
     }
     nextDigestMillis = nowMillis + settings.digestPeriodMillis();
     List<String> others = List.copyOf(table.otherRegions());
-    boolean far = !others.isEmpty() && random.nextDouble() < OTHER_REGION_DIGEST_SHARE;
+    boolean otherRegion = !others.isEmpty() && random.nextDouble() < OTHER_REGION_DIGEST_SHARE;
     String region =
-        far ? others.get(random.nextInt(others.size())) : table.self().update().region();
+        otherRegion ? others.get(random.nextInt(others.size())) : table.self().update().region();
     randomIn(region).ifPresent(peer -> sendDigest(peer.id()));
   }
 
   private void sendDigest(DaemonId to) {
     counts.digests++;
-    send(to, new DigestMessage(table.digest(), ownNews()));
+    send(to, new DigestMessage(table.digest(), ownUpdates()));
   }
 
   private void sendDifference(DaemonId to, DigestMessage digest) {
@@ -375,14 +377,14 @@
     }
   }
 
-  private void forget(long nowMillis) {
-    if (nowMillis >= nextForgetMillis) {
-      nextForgetMillis = nowMillis + FORGET_PERIOD_MILLIS;
+  private void removeInactive(long nowMillis) {
+    if (nowMillis >= nextRemovalMillis) {
+      nextRemovalMillis = nowMillis + REMOVAL_PERIOD_MILLIS;
       changed |= table.removeInactiveBefore(nowMillis - settings.forgetMillis());
     }
   }
 
-  private void heard(DaemonId from, long nowMillis) {
+  private void recordContact(DaemonId from, long nowMillis) {
     Optional<MemberEntry> entry = table.find(from);
     if (entry.isPresent() && regions.recordContact(entry.get().update().region())) {
       changed = true;
@@ -400,14 +402,14 @@
     }
   }
 
-  private void acknowledged(long number) {
+  private void handleAck(long number) {
     if (probes.isCurrent(number)) {
       probes.end();
     }
     relays
         .take(number)
         .ifPresent(
-            relay -> send(relay.requester(), new AckMessage(relay.sequence(), newsFor(relay))));
+            relay -> send(relay.requester(), new AckMessage(relay.sequence(), updatesFor(relay))));
   }
 
   /**
@@ -415,20 +417,20 @@
    * were told before: a daemon that wakes from a pause finds more such pings than it tells news,
    * and the last of those that accuse it would declare it dead.
    */
-  private void answer(DaemonId from, PingMessage ping) {
-    List<MemberUpdate> first = new ArrayList<>();
+  private void acknowledge(DaemonId from, PingMessage ping) {
+    List<MemberUpdate> required = new ArrayList<>();
     table
         .find(from.host())
-        .filter(this::needsAnswer)
+        .filter(this::isSuspectOrInactive)
         .map(MemberEntry::update)
-        .ifPresent(first::add);
-    if (ping.updates().stream().anyMatch(this::isAccusation)) {
-      first.add(table.self().update());
+        .ifPresent(required::add);
+    if (ping.updates().stream().anyMatch(this::isSuspicionOfSelf)) {
+      required.add(table.self().update());
     }
-    send(from, new AckMessage(ping.sequence(), take(first)));
+    send(from, new AckMessage(ping.sequence(), takeUpdates(required)));
   }
 
-  private boolean isAccusation(MemberUpdate update) {
+  private boolean isSuspicionOfSelf(MemberUpdate update) {
     return update.id().equals(table.self().id()) && update.health() != Health.ALIVE;
   }
 
@@ -436,7 +438,8 @@
     Optional<MemberEntry> target = table.find(request.target());
     long number = ++sequence;
     relays.add(number, new RelayedPings.Relay(from, request.sequence()));
-    List<MemberUpdate> updates = target.map(this::newsFor).orElseGet(() -> take(List.of()));
+    List<MemberUpdate> updates =
+        target.map(this::updatesFor).orElseGet(() -> takeUpdates(List.of()));
     send(request.target(), new PingMessage(number, updates));
   }
 
@@ -444,55 +447,55 @@
    * A sender that is not known, or known as a later run than it is, is asked what it knows: its
    * answer says who it is, and tells it what it lacks.
    */
-  private void askStranger(DaemonId from, long nowMillis) {
+  private void requestStateOfUnknownSender(DaemonId from, long nowMillis) {
     boolean known = table.find(from).isPresent();
-    boolean old = table.find(from.host()).filter(e -> e.id().supersedes(from)).isPresent();
-    if (!known && !old && nowMillis >= nextStrangerDigestMillis) {
-      nextStrangerDigestMillis =
-          nowMillis + (table.activeCount() == 1 ? 0 : STRANGER_DIGEST_MILLIS);
+    boolean outdated = table.find(from.host()).filter(e -> e.id().supersedes(from)).isPresent();
+    if (!known && !outdated && nowMillis >= nextUnknownSenderDigestMillis) {
+      nextUnknownSenderDigestMillis =
+          nowMillis + (table.activeCount() == 1 ? 0 : UNKNOWN_SENDER_DIGEST_MILLIS);
       sendDigest(from);
     }
   }
 
-  private void learn(List<MemberUpdate> updates, DaemonId from, long nowMillis) {
+  private void applyUpdates(List<MemberUpdate> updates, DaemonId from, long nowMillis) {
     for (MemberUpdate update : updates) {
       if (update.host().equals(table.self().update().host())) {
-        learnOfSelf(update, from);
+        applyUpdateOfSelf(update, from);
       } else {
-        learnOfOther(update, nowMillis);
+        applyUpdateOfOther(update, nowMillis);
       }
     }
   }
 
-  private void learnOfSelf(MemberUpdate heard, DaemonId from) {
+  private void applyUpdateOfSelf(MemberUpdate received, DaemonId from) {
     MemberEntry self = table.self();
-    if (heard.id().supersedes(self.id())) {
-      successor = Optional.of(heard.id());
+    if (received.id().supersedes(self.id())) {
+      successor = Optional.of(received.id());
       return;
     }
-    if (isAccusation(heard) && heard.version() >= self.update().version()) {
+    if (isSuspicionOfSelf(received) && received.version() >= self.update().version()) {
       counts.refutations++;
-      adopt(self.withVersion(heard.version() + 1));
-      send(from, new PingMessage(++sequence, ownNews()));
-      hurry(HURRIED_PINGS);
+      adopt(self.withVersion(received.version() + 1));
+      send(from, new PingMessage(++sequence, ownUpdates()));
+      pingRandomMembers(URGENT_PINGS);
     }
   }
 
-  private void learnOfOther(MemberUpdate heard, long nowMillis) {
-    Optional<MemberEntry> known = table.find(heard.host());
-    boolean gone = heard.health() == Health.DEAD || heard.departure() == Departure.LEFT;
+  private void applyUpdateOfOther(MemberUpdate received, long nowMillis) {
+    Optional<MemberEntry> known = table.find(received.host());
+    boolean inactive = received.health() == Health.DEAD || received.departure() == Departure.LEFT;
     if (known.isEmpty()) {
       // A daemon that was forgotten as dead must not come back to be forgotten once more.
-      if (!gone) {
-        adopt(new MemberEntry(heard, nowMillis));
+      if (!inactive) {
+        adopt(new MemberEntry(received, nowMillis));
       }
       return;
     }
     MemberEntry entry = known.get();
-    if (heard.id().supersedes(entry.id())) {
-      adopt(new MemberEntry(heard, nowMillis));
-    } else if (heard.id().equals(entry.id())) {
-      MemberEntry merged = entry.merge(heard, nowMillis);
+    if (received.id().supersedes(entry.id())) {
+      adopt(new MemberEntry(received, nowMillis));
+    } else if (received.id().equals(entry.id())) {
+      MemberEntry merged = entry.merge(received, nowMillis);
       if (!merged.update().equals(entry.update())) {
         adopt(merged);
       }
@@ -502,28 +505,29 @@
   /** Believes something new, tells it on, and counts it. */
   private void adopt(MemberEntry entry) {
     Optional<MemberEntry> previous = table.find(entry.update().host());
-    boolean sameRun = previous.filter(old -> old.id().equals(entry.id())).isPresent();
+    boolean sameRun =
+        previous.filter(previousEntry -> previousEntry.id().equals(entry.id())).isPresent();
     Health before = sameRun ? previous.get().update().health() : Health.ALIVE;
     Health after = entry.update().health();
     boolean suspicion = before == Health.ALIVE && after == Health.SUSPECT;
-    suspicionNews |= suspicion;
+    hasNewSuspicions |= suspicion;
     counts.suspicions += suspicion ? 1 : 0;
     counts.deaths += before != Health.DEAD && after == Health.DEAD ? 1 : 0;
     counts.revivals += before == Health.DEAD && after != Health.DEAD ? 1 : 0;
     changed |= !sameRun || previous.get().state(true) != entry.state(true);
     table.put(entry);
-    news.add(entry.update());
+    dissemination.add(entry.update());
   }
 
-  private void hurry(int pings) {
+  private void pingRandomMembers(int pings) {
     List<String> hosts = table.reachableIn(table.self().update().region());
     Set<String> chosen = new LinkedHashSet<>();
-    for (int draw = 0; draw < pings && !hosts.isEmpty(); draw++) {
+    for (int sample = 0; sample < pings && !hosts.isEmpty(); sample++) {
       chosen.add(hosts.get(random.nextInt(hosts.size())));
     }
     for (String host : chosen) {
       MemberEntry entry = table.find(host).orElseThrow();
-      send(entry.id(), new PingMessage(++sequence, take(List.of(table.self().update()))));
+      send(entry.id(), new PingMessage(++sequence, takeUpdates(List.of(table.self().update()))));
     }
   }
 
@@ -532,26 +536,29 @@
     return hosts.isEmpty() ? Optional.empty() : table.find(hosts.get(random.nextInt(hosts.size())));
   }
 
-  private boolean needsAnswer(MemberEntry sender) {
+  private boolean isSuspectOrInactive(MemberEntry sender) {
     return sender.isInactive() || sender.isSuspect();
   }
 
-  /** News for a daemon, with what it is accused of first. */
-  private List<MemberUpdate> newsFor(MemberEntry receiver) {
-    return take(needsAnswer(receiver) ? List.of(receiver.update()) : List.of());
+  /** News for a daemon, with what it is accused of required. */
+  private List<MemberUpdate> updatesFor(MemberEntry receiver) {
+    return takeUpdates(isSuspectOrInactive(receiver) ? List.of(receiver.update()) : List.of());
   }
 
-  private List<MemberUpdate> newsFor(RelayedPings.Relay relay) {
-    return table.find(relay.requester()).map(this::newsFor).orElseGet(() -> take(List.of()));
+  private List<MemberUpdate> updatesFor(RelayedPings.Relay relay) {
+    return table
+        .find(relay.requester())
+        .map(this::updatesFor)
+        .orElseGet(() -> takeUpdates(List.of()));
   }
 
-  private List<MemberUpdate> ownNews() {
-    return take(List.of(table.self().update()));
+  private List<MemberUpdate> ownUpdates() {
+    return takeUpdates(List.of(table.self().update()));
   }
 
-  private List<MemberUpdate> take(List<MemberUpdate> first) {
-    return news.take(
-        first, settings.maximumUpdateBytes(), settings.transmissions(table.activeCount()));
+  private List<MemberUpdate> takeUpdates(List<MemberUpdate> required) {
+    return dissemination.take(
+        required, settings.maximumUpdateBytes(), settings.transmissions(table.activeCount()));
   }
 
   private void send(DaemonId to, PeerMessage message) {
--- a/core/src/main/java/org/marjoramsail/core/membership/VirtualFleet.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/VirtualFleet.java
@@ -137,7 +137,7 @@
         afterMillis,
         node,
         () -> {
-          perform(node, node.protocol.left(clock.millis()));
+          perform(node, node.protocol.markLeft(clock.millis()));
           node.running = false;
         });
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/membership/MembershipService.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/membership/MembershipService.java
@@ -165,7 +165,7 @@
   public Future<Void> stop() {
     ticks.stop();
     synchronized (lock) {
-      protocol.ifPresent(running -> perform(running.left(clock.millis())));
+      protocol.ifPresent(running -> perform(running.markLeft(clock.millis())));
       protocol = Optional.empty();
     }
     Promise<Void> sent = Promise.promise();
