--- a/core/src/main/java/org/marjoramsail/core/membership/Dissemination.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/Dissemination.java
@@ -6,7 +6,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** News that still have to be told, the least told first, so that a burst starves none of them. */
+/**
+ * News that still have to be told, the least told required, so that a burst starves none of them.
+ */
 final class Dissemination {
 
   private static final class Item {
@@ -36,8 +38,8 @@
    * @param maximumBytes an upper bound for the rest, in bytes
    * @param maximumTransmissions how often each is told in all
    */
-  List<MemberUpdate> take(List<MemberUpdate> first, int maximumBytes, int maximumTransmissions) {
-    List<MemberUpdate> taken = new ArrayList<>(first);
+  List<MemberUpdate> take(List<MemberUpdate> required, int maximumBytes, int maximumTransmissions) {
+    List<MemberUpdate> taken = new ArrayList<>(required);
     if (items.isEmpty()) {
       return taken;
     }
--- a/core/src/main/java/org/marjoramsail/core/membership/MembershipProtocol.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/MembershipProtocol.java
@@ -505,16 +505,16 @@
   /** Believes something new, tells it on, and counts it. */
   private void adopt(MemberEntry entry) {
     Optional<MemberEntry> previous = table.find(entry.update().host());
-    boolean sameRun =
+    boolean sameIncarnation =
         previous.filter(previousEntry -> previousEntry.id().equals(entry.id())).isPresent();
-    Health before = sameRun ? previous.get().update().health() : Health.ALIVE;
+    Health before = sameIncarnation ? previous.get().update().health() : Health.ALIVE;
     Health after = entry.update().health();
     boolean suspicion = before == Health.ALIVE && after == Health.SUSPECT;
     hasNewSuspicions |= suspicion;
     counts.suspicions += suspicion ? 1 : 0;
     counts.deaths += before != Health.DEAD && after == Health.DEAD ? 1 : 0;
     counts.revivals += before == Health.DEAD && after != Health.DEAD ? 1 : 0;
-    changed |= !sameRun || previous.get().state(true) != entry.state(true);
+    changed |= !sameIncarnation || previous.get().state(true) != entry.state(true);
     table.put(entry);
     dissemination.add(entry.update());
   }
--- a/core/src/main/java/org/marjoramsail/core/membership/MembershipView.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/MembershipView.java
@@ -31,7 +31,7 @@
    */
   public double budgetShare() {
     long known = members.stream().filter(member -> member.state() != MemberState.LEFT).count();
-    long seen = members.stream().filter(member -> member.state().isReachable()).count();
-    return known == 0 || 2 * seen >= known ? 1 : seen / (double) known;
+    long reachable = members.stream().filter(member -> member.state().isReachable()).count();
+    return known == 0 || 2 * reachable >= known ? 1 : reachable / (double) known;
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/membership/ProbeNeighbours.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/ProbeNeighbours.java
@@ -32,17 +32,17 @@
    * @param self the host that pings
    * @param others the hosts that can be pinged
    */
-  static List<String> of(String self, Collection<String> others) {
+  static List<String> select(String self, Collection<String> others) {
     if (others.size() < SMALL_FLEET) {
       return new ArrayList<>(others);
     }
-    List<String> circle = new ArrayList<>(others);
-    circle.add(self);
-    circle.sort(BY_HASH);
-    int own = circle.indexOf(self);
+    List<String> ring = new ArrayList<>(others);
+    ring.add(self);
+    ring.sort(BY_HASH);
+    int ownPosition = ring.indexOf(self);
     List<String> neighbours = new ArrayList<>();
-    for (int distance = 1; distance < circle.size(); distance *= 2) {
-      neighbours.add(circle.get((own + distance) % circle.size()));
+    for (int distance = 1; distance < ring.size(); distance *= 2) {
+      neighbours.add(ring.get((ownPosition + distance) % ring.size()));
     }
     return neighbours;
   }
--- a/core/src/main/java/org/marjoramsail/core/membership/ProbeSchedule.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/ProbeSchedule.java
@@ -59,7 +59,7 @@
   Optional<MemberEntry> next(MemberTable table) {
     if (round.isEmpty()) {
       MemberUpdate self = table.self().update();
-      List<String> hosts = ProbeNeighbours.of(self.host(), table.reachableIn(self.region()));
+      List<String> hosts = ProbeNeighbours.select(self.host(), table.reachableIn(self.region()));
       shuffle(hosts);
       round.addAll(hosts);
     }
--- a/core/src/main/java/org/marjoramsail/core/membership/VirtualFleet.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/VirtualFleet.java
@@ -38,13 +38,14 @@
    *
    * @param lost share of messages that vanish, from 0 to 1
    * @param duplicated share of messages that arrive twice, from 0 to 1
-   * @param shortestMillis the shortest way, in milliseconds
-   * @param longestMillis the longest way, in milliseconds; a difference reorders
+   * @param minimumDelayMillis the shortest way, in milliseconds
+   * @param maximumDelayMillis the longest way, in milliseconds; a difference reorders
    */
-  public record Network(double lost, double duplicated, long shortestMillis, long longestMillis) {
+  public record Network(
+      double lost, double duplicated, long minimumDelayMillis, long maximumDelayMillis) {
 
     /** A network between zones of one region, without faults. */
-    public static final Network CALM = new Network(0, 0, 1, 2);
+    public static final Network RELIABLE = new Network(0, 0, 1, 2);
   }
 
   private static final class Node {
@@ -72,7 +73,7 @@
           Comparator.comparingLong(Event::dueMillis).thenComparingLong(Event::order));
   private final Set<DaemonId> paused = new HashSet<>();
   private final List<PeerAddress> seeds = new ArrayList<>();
-  private Network network = Network.CALM;
+  private Network network = Network.RELIABLE;
   private BiPredicate<MemberUpdate, MemberUpdate> cut = (from, to) -> false;
   private long order;
 
@@ -109,8 +110,8 @@
   /** Ends the run of a host, if there is one, and starts the next on the same address. */
   public DaemonId restart(String host) {
     kill(host);
-    MemberUpdate old = nodes.get(host).self;
-    long incarnation = Math.max(clock.millis(), old.incarnation() + 1);
+    MemberUpdate previous = nodes.get(host).self;
+    long incarnation = Math.max(clock.millis(), previous.incarnation() + 1);
     return start(
         new MemberUpdate(
             host,
@@ -118,10 +119,10 @@
             0,
             Health.ALIVE,
             Departure.STAYING,
-            old.address(),
-            old.port(),
-            old.availabilityZone(),
-            old.region()));
+            previous.address(),
+            previous.port(),
+            previous.availabilityZone(),
+            previous.region()));
   }
 
   /** Ends a daemon without a word. */
@@ -160,7 +161,7 @@
   }
 
   /** Ends all cuts. */
-  public void mend() {
+  public void healCuts() {
     cut = (from, to) -> false;
   }
 
@@ -204,14 +205,15 @@
   }
 
   /** What a host's newest run believes of the newest run that it knows of another host. */
-  public Optional<MemberState> belief(String host, String other) {
+  public Optional<MemberState> observedState(String host, String other) {
     return nodes.get(host).protocol.stateOf(other);
   }
 
   private DaemonId start(MemberUpdate self) {
-    RandomGenerator own =
+    RandomGenerator nodeRandom =
         RandomGeneratorFactory.<RandomGenerator>of("L64X128MixRandom").create(random.nextLong());
-    Node node = new Node(self, new MembershipProtocol(settings, self, seeds, own, clock.millis()));
+    Node node =
+        new Node(self, new MembershipProtocol(settings, self, seeds, nodeRandom, clock.millis()));
     nodes.put(self.host(), node);
     byAddress.put(self.listening(), node);
     schedule(random.nextLong(MembershipSettings.TICK_MILLIS), node, () -> tick(node));
@@ -254,22 +256,23 @@
       return;
     }
     if (random.nextDouble() >= network.lost()) {
-      arrive(from, to.get(), message);
+      deliver(from, to.get(), message);
     }
     if (random.nextDouble() < network.duplicated()) {
-      arrive(from, to.get(), message);
+      deliver(from, to.get(), message);
     }
   }
 
-  private void arrive(Node from, Node to, PeerMessage message) {
-    long wayMillis = random.nextLong(network.shortestMillis(), network.longestMillis() + 1);
+  private void deliver(Node from, Node to, PeerMessage message) {
+    long delayMillis =
+        random.nextLong(network.minimumDelayMillis(), network.maximumDelayMillis() + 1);
     schedule(
-        wayMillis,
+        delayMillis,
         to,
         () -> perform(to, to.protocol.receive(from.self.id(), message, clock.millis())));
   }
 
-  private void schedule(long inMillis, Node node, Runnable action) {
-    events.add(new Event(clock.millis() + inMillis, order++, node, action));
+  private void schedule(long delayMillis, Node node, Runnable action) {
+    events.add(new Event(clock.millis() + delayMillis, order++, node, action));
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/membership/MembershipFuzzTest.java
+++ b/core/src/test/java/org/marjoramsail/core/membership/MembershipFuzzTest.java
@@ -85,9 +85,9 @@
       case CUT_ZONE -> fleet.cut(between(member -> member.availabilityZone().equals("zone-0")));
       case CUT_REGION -> fleet.cut(between(member -> member.region().equals("north")));
       case CUT_ONE_WAY -> fleet.cut((from, to) -> from.host().equals(host));
-      case MEND -> fleet.mend();
+      case MEND -> fleet.healCuts();
       case DISTURB -> fleet.network(new VirtualFleet.Network(0.2, 0.1, 1, 400));
-      case CALM -> fleet.network(VirtualFleet.Network.CALM);
+      case CALM -> fleet.network(VirtualFleet.Network.RELIABLE);
     }
   }
 
@@ -97,8 +97,8 @@
 
   /** Ends all faults; one seed has to run, or separate daemons could not know of each other. */
   private static void beQuiet(VirtualFleet fleet) {
-    fleet.mend();
-    fleet.network(VirtualFleet.Network.CALM);
+    fleet.healCuts();
+    fleet.network(VirtualFleet.Network.RELIABLE);
     if (fleet.running().stream().noneMatch(daemon -> daemon.host().equals(host(0)))) {
       fleet.restart(host(0));
     }
--- a/core/src/test/java/org/marjoramsail/core/membership/MembershipStoryTest.java
+++ b/core/src/test/java/org/marjoramsail/core/membership/MembershipStoryTest.java
@@ -71,7 +71,7 @@
   private static boolean isBelievedByAll(VirtualFleet fleet, String host, MemberState state) {
     return fleet.running().stream()
         .filter(viewer -> !viewer.host().equals(host))
-        .allMatch(viewer -> fleet.belief(viewer.host(), host).equals(Optional.of(state)));
+        .allMatch(viewer -> fleet.observedState(viewer.host(), host).equals(Optional.of(state)));
   }
 
   @ParameterizedTest
@@ -175,7 +175,7 @@
     fleet.kill("south-2");
     fleet.restart("south-3");
     runWithoutAFalseDeath(fleet, 4 * MINUTE);
-    fleet.mend();
+    fleet.healCuts();
     runWithoutAFalseDeath(fleet, 30 * SECOND);
     assertAllAgree(fleet);
   }
@@ -201,12 +201,15 @@
     fleet.cut(
         (from, to) -> from.availabilityZone().equals(zone) != to.availabilityZone().equals(zone));
     fleet.run(MINUTE);
-    assertThat(fleet.belief("santiago-0", "santiago-1").orElseThrow()).isEqualTo(MemberState.DEAD);
-    fleet.mend();
+    assertThat(fleet.observedState("santiago-0", "santiago-1").orElseThrow())
+        .isEqualTo(MemberState.DEAD);
+    fleet.healCuts();
     for (int step = 0; step < 300; step++) {
       fleet.run(100);
-      assertThat(fleet.belief("santiago-0", "santiago-3").orElseThrow().isReachable()).isTrue();
-      assertThat(fleet.belief("santiago-1", "santiago-2").orElseThrow().isReachable()).isTrue();
+      assertThat(fleet.observedState("santiago-0", "santiago-3").orElseThrow().isReachable())
+          .isTrue();
+      assertThat(fleet.observedState("santiago-1", "santiago-2").orElseThrow().isReachable())
+          .isTrue();
     }
     assertAllAgree(fleet);
   }
@@ -226,7 +229,7 @@
     for (int step = 0; step < 60; step++) {
       fleet.run(SECOND);
       for (DaemonId viewer : fleet.running()) {
-        assertThat(fleet.belief(viewer.host(), "santiago-6")).isEmpty();
+        assertThat(fleet.observedState(viewer.host(), "santiago-6")).isEmpty();
       }
     }
   }
--- a/core/src/test/java/org/marjoramsail/core/membership/SparseProbesTest.java
+++ b/core/src/test/java/org/marjoramsail/core/membership/SparseProbesTest.java
@@ -60,7 +60,9 @@
         fleet.running().stream()
             .filter(
                 viewer ->
-                    fleet.belief(viewer.host(), "host-7").equals(Optional.of(MemberState.ALIVE)))
+                    fleet
+                        .observedState(viewer.host(), "host-7")
+                        .equals(Optional.of(MemberState.ALIVE)))
             .toList();
     assertThat(unaware).isEmpty();
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/membership/MembershipMeasurement.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/membership/MembershipMeasurement.java
@@ -179,7 +179,7 @@
       fleet.run(STEP_MILLIS);
       passed += STEP_MILLIS;
       for (String viewer : List.copyOf(unaware)) {
-        if (fleet.belief(viewer, victim).equals(Optional.of(MemberState.DEAD))) {
+        if (fleet.observedState(viewer, victim).equals(Optional.of(MemberState.DEAD))) {
           unaware.remove(viewer);
           times.add(passed);
         }
