--- a/core/src/test/java/org/marjoramsail/core/membership/MembershipFuzzTest.java
+++ b/core/src/test/java/org/marjoramsail/core/membership/MembershipFuzzTest.java
@@ -20,13 +20,13 @@
 
 /**
  * Random histories of a fleet of two regions against an oracle: once it is quiet, every daemon
- * believes exactly those to be reachable that run, and on the way no belief of a host falls back to
- * an earlier run of it.
+ * believes exactly those to be reachable that run, and on the way no belief of a host falls back
+ * to an earlier run of it.
  */
 final class MembershipFuzzTest {
 
   private static final int DAEMONS = 8;
-  private static final long QUIET_MILLIS = 120_000;
+  private static final long RECOVERY_MILLIS = 120_000;
   private static final long STEP_MILLIS = 250;
 
   private enum Kind {
@@ -39,15 +39,15 @@
     CUT_ZONE,
     CUT_REGION,
     CUT_ONE_WAY,
-    MEND,
-    DISTURB,
-    CALM
+    HEAL_CUTS,
+    UNRELIABLE_NETWORK,
+    RELIABLE_NETWORK
   }
 
   private record Step(Kind kind, int host, long millis) {}
 
   @Property(seed = "4201", tries = 150)
-  void afterAnyHistoryAllViewsEqualTheTruth(
+  void afterAnyHistoryAllViewsListTheRunningDaemons(
       @ForAll("histories") List<Step> history, @ForAll long seed) {
     VirtualFleet fleet =
         new VirtualFleet(
@@ -60,12 +60,12 @@
       apply(fleet, step);
       for (long passed = 0; passed < step.millis(); passed += STEP_MILLIS) {
         fleet.run(STEP_MILLIS);
-        checkNoFallBack(fleet, newest);
+        assertNoReturnToAnEarlierIncarnation(fleet, newest);
       }
     }
-    beQuiet(fleet);
-    checkNoFallBack(fleet, newest);
-    checkTruth(fleet);
+    endFaults(fleet);
+    assertNoReturnToAnEarlierIncarnation(fleet, newest);
+    assertViewsListTheRunningDaemons(fleet);
   }
 
   private static void apply(VirtualFleet fleet, Step step) {
@@ -85,9 +85,9 @@
       case CUT_ZONE -> fleet.cut(between(member -> member.availabilityZone().equals("zone-0")));
       case CUT_REGION -> fleet.cut(between(member -> member.region().equals("north")));
       case CUT_ONE_WAY -> fleet.cut((from, to) -> from.host().equals(host));
-      case MEND -> fleet.healCuts();
-      case DISTURB -> fleet.network(new VirtualFleet.Network(0.2, 0.1, 1, 400));
-      case CALM -> fleet.network(VirtualFleet.Network.RELIABLE);
+      case HEAL_CUTS -> fleet.healCuts();
+      case UNRELIABLE_NETWORK -> fleet.network(new VirtualFleet.Network(0.2, 0.1, 1, 400));
+      case RELIABLE_NETWORK -> fleet.network(VirtualFleet.Network.RELIABLE);
     }
   }
 
@@ -96,16 +96,17 @@
   }
 
   /** Ends all faults; one seed has to run, or separate daemons could not know of each other. */
-  private static void beQuiet(VirtualFleet fleet) {
+  private static void endFaults(VirtualFleet fleet) {
     fleet.healCuts();
     fleet.network(VirtualFleet.Network.RELIABLE);
     if (fleet.running().stream().noneMatch(daemon -> daemon.host().equals(host(0)))) {
       fleet.restart(host(0));
     }
-    fleet.run(QUIET_MILLIS);
+    fleet.run(RECOVERY_MILLIS);
   }
 
-  private static void checkNoFallBack(VirtualFleet fleet, Map<DaemonId, Map<String, Long>> newest) {
+  private static void assertNoReturnToAnEarlierIncarnation(
+      VirtualFleet fleet, Map<DaemonId, Map<String, Long>> newest) {
     for (DaemonId viewer : fleet.running()) {
       Map<String, Long> known = newest.computeIfAbsent(viewer, id -> new HashMap<>());
       for (Member member : fleet.view(viewer.host()).members()) {
@@ -117,7 +118,7 @@
     }
   }
 
-  private static void checkTruth(VirtualFleet fleet) {
+  private static void assertViewsListTheRunningDaemons(VirtualFleet fleet) {
     Set<DaemonId> running = Set.copyOf(fleet.running());
     for (DaemonId viewer : running) {
       Map<DaemonId, MemberState> reachable =
@@ -146,21 +147,22 @@
   }
 
   @Property(seed = "4202", tries = 1500)
-  void beliefsOfARunJoinToTheSameInAnyOrder(@ForAll("beliefs") List<MemberUpdate> beliefs) {
-    MemberUpdate start = belief(0, Health.ALIVE, Departure.STAYING);
+  void updatesOfAnIncarnationMergeToTheSameStateInAnyOrder(
+      @ForAll("beliefs") List<MemberUpdate> updates) {
+    MemberUpdate start = updateOf(0, Health.ALIVE, Departure.STAYING);
     MemberEntry forward = new MemberEntry(start, 0);
     MemberEntry backward = new MemberEntry(start, 0);
-    for (int position = 0; position < beliefs.size(); position++) {
-      forward = forward.merge(beliefs.get(position), 1);
-      backward = backward.merge(beliefs.get(beliefs.size() - 1 - position), 1);
+    for (int position = 0; position < updates.size(); position++) {
+      forward = forward.merge(updates.get(position), 1);
+      backward = backward.merge(updates.get(updates.size() - 1 - position), 1);
     }
     assertThat(forward.update()).isEqualTo(backward.update());
-    for (MemberUpdate heard : beliefs) {
-      assertThat(forward.merge(heard, 2).update()).isEqualTo(forward.update());
+    for (MemberUpdate received : updates) {
+      assertThat(forward.merge(received, 2).update()).isEqualTo(forward.update());
     }
   }
 
-  private static MemberUpdate belief(int version, Health health, Departure departure) {
+  private static MemberUpdate updateOf(int version, Health health, Departure departure) {
     return new MemberUpdate("host", 1, version, health, departure, "10.0.0.1", 1, "zone", "region");
   }
 
@@ -170,7 +172,7 @@
             Arbitraries.integers().between(0, 3),
             Arbitraries.of(Health.class),
             Arbitraries.of(Departure.class))
-        .as(MembershipFuzzTest::belief)
+        .as(MembershipFuzzTest::updateOf)
         .list()
         .ofMaxSize(6);
   }
--- a/core/src/test/java/org/marjoramsail/core/membership/MembershipPauseTest.java
+++ b/core/src/test/java/org/marjoramsail/core/membership/MembershipPauseTest.java
@@ -17,7 +17,7 @@
   private long now;
 
   @Test
-  void aDaemonAtRestTicksNoOftenerThanItPings() {
+  void anIdleDaemonTicksNoMoreOftenThanItPings() {
     int ticks = 0;
     while (now < 10_000) {
       tickWhenDue();
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void ticksThatComeWhenTheyAreDueAreNoPauseOfTheProcess() {
+  void ticksOnScheduleAreNotCountedAsPauses() {
     while (now < 10_000) {
       tickWhenDue();
     }
@@ -41,7 +41,7 @@
    * on its own side, so it has to notice the pause although its next tick was not due for a while.
    */
   @Test
-  void aTickThatComesFarTooLateShowsAPauseOfTheProcess() {
+  void aVeryLateTickIsCountedAsAPauseOfTheProcess() {
     tickWhenDue();
     now += protocol.pauseMillis(now) + HOST_PAUSE_MILLIS;
     protocol.tick(now);
@@ -53,12 +53,12 @@
    * A suspicion expires within fractions of a second, so its ticks are not left to the next ping.
    */
   @Test
-  void whileADaemonIsSuspectedTicksAreShort() {
-    DaemonId teller = daemon("b").id();
+  void ticksAreFrequentWhileADaemonIsSuspected() {
+    DaemonId sender = daemon("b").id();
     MemberUpdate suspect = daemon("c", Health.SUSPECT);
-    protocol.receive(teller, new PingMessage(1, List.of(daemon("b"), daemon("c"))), now);
+    protocol.receive(sender, new PingMessage(1, List.of(daemon("b"), daemon("c"))), now);
     assertThat(protocol.pauseMillis(now)).isLessThanOrEqualTo(settings.probePeriodMillis());
-    protocol.receive(teller, new PingMessage(2, List.of(suspect)), now);
+    protocol.receive(sender, new PingMessage(2, List.of(suspect)), now);
 
     assertThat(protocol.pauseMillis(now)).isEqualTo(MembershipSettings.TICK_MILLIS);
   }
--- a/core/src/test/java/org/marjoramsail/core/membership/MembershipStoryTest.java
+++ b/core/src/test/java/org/marjoramsail/core/membership/MembershipScenarioTest.java
@@ -14,7 +14,7 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /** Failures of daemons and of the network between them, on a virtual clock with fixed seeds. */
-final class MembershipStoryTest {
+final class MembershipScenarioTest {
 
   private static final long SECOND = 1_000;
   private static final long MINUTE = 60 * SECOND;
@@ -68,7 +68,7 @@
         .sum();
   }
 
-  private static boolean isBelievedByAll(VirtualFleet fleet, String host, MemberState state) {
+  private static boolean allOthersObserve(VirtualFleet fleet, String host, MemberState state) {
     return fleet.running().stream()
         .filter(viewer -> !viewer.host().equals(host))
         .allMatch(viewer -> fleet.observedState(viewer.host(), host).equals(Optional.of(state)));
@@ -76,19 +76,19 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
-  void aDeadDaemonIsKnownToSixOthersWithinThreeSeconds(long seed) {
+  void aFailedDaemonIsDeclaredDeadByAllOthersWithinThreeSeconds(long seed) {
     // A ballot waits for a shard owner that no longer exists.
     // The owner's process dies without a word; the others must learn it to take over its shards.
     VirtualFleet fleet = fleet(7, seed);
     fleet.run(seed * 37);
     fleet.kill("santiago-3");
     fleet.run(3 * SECOND);
-    assertThat(isBelievedByAll(fleet, "santiago-3", MemberState.DEAD)).isTrue();
+    assertThat(allOthersObserve(fleet, "santiago-3", MemberState.DEAD)).isTrue();
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void noDaemonIsTakenForDeadInTenMinutesAtFivePercentLoss(long seed) {
+  void noDaemonIsDeclaredDeadInTenMinutesWithFivePercentMessageLoss(long seed) {
     // Requests in progress are cancelled by survivors although their daemon runs.
     // Some pings and answers get lost; a detector without second ways takes that for a death.
     VirtualFleet fleet = fleet(7, seed);
@@ -100,7 +100,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void aPauseOfOneSecondIsNoDeathForEitherSide(long seed) {
+  void aPauseOfOneSecondCausesNoDeclaredDeath(long seed) {
     // Requests in progress are cancelled because a collector stopped one daemon for a second.
     // The others suspect it; on waking, it finds its own pings unanswered and would accuse them.
     VirtualFleet fleet = fleet(7, seed);
@@ -113,13 +113,13 @@
   }
 
   @Test
-  void aDaemonThatSleptForTenSecondsIsDeadThenAliveAndAccusesNobody() {
+  void aDaemonPausedForTenSecondsIsDeclaredDeadRecoversAndSuspectsNoOther() {
     // A host is suspended and resumed; afterwards its shards flap and its neighbours seem dead.
     // It is declared dead while it sleeps, and all its own timers are due when it wakes.
     VirtualFleet fleet = fleet(7, 5);
     fleet.pause("santiago-2", 10 * SECOND);
     fleet.run(9 * SECOND);
-    assertThat(isBelievedByAll(fleet, "santiago-2", MemberState.DEAD)).isTrue();
+    assertThat(allOthersObserve(fleet, "santiago-2", MemberState.DEAD)).isTrue();
     fleet.run(15 * SECOND);
     assertAllAgree(fleet);
     assertThat(fleet.statistics("santiago-2").deaths()).isZero();
@@ -127,7 +127,7 @@
   }
 
   @Test
-  void aRestartedDaemonReplacesItsFormerRunWithoutASuspicion() {
+  void aRestartedDaemonReplacesItsFormerIncarnationWithoutASuspicion() {
     // A daemon is restarted within a second and its former run still owns shards for others.
     // The new run joins by a seed; its higher incarnation must replace the former one at once.
     VirtualFleet fleet = fleet(7, 6);
@@ -145,16 +145,16 @@
     VirtualFleet fleet = fleet(7, 7);
     fleet.leave("santiago-5", 5 * SECOND);
     fleet.run(3 * SECOND);
-    assertThat(isBelievedByAll(fleet, "santiago-5", MemberState.LEAVING)).isTrue();
+    assertThat(allOthersObserve(fleet, "santiago-5", MemberState.LEAVING)).isTrue();
     fleet.run(4 * SECOND);
-    assertThat(isBelievedByAll(fleet, "santiago-5", MemberState.LEFT)).isTrue();
+    assertThat(allOthersObserve(fleet, "santiago-5", MemberState.LEFT)).isTrue();
     fleet.run(MINUTE);
-    assertThat(isBelievedByAll(fleet, "santiago-5", MemberState.LEFT)).isTrue();
+    assertThat(allOthersObserve(fleet, "santiago-5", MemberState.LEFT)).isTrue();
     assertThat(deaths(fleet)).isZero();
   }
 
   @Test
-  void regionsThatLoseEachOtherServeOnAndMergeWithoutAFalseDeath() {
+  void partitionedRegionsMergeWithoutAFalseDeath() {
     // The link between regions is cut for five minutes; after it both regions drop live owners.
     // Each side takes the other for dead and tells so when the link is back.
     // Meanwhile one daemon dies and one restarts on the far side; only that may be news.
@@ -193,7 +193,7 @@
   }
 
   @Test
-  void zonesThatWereCutFromEachOtherNeverDropTheirOwnNeighboursWhenTheyMerge() {
+  void partitionedZonesKeepTheirOwnMembersReachableWhenTheyMerge() {
     // After a switch is mended, daemons beside each other take each other for dead for a moment.
     // Both sides had declared the other dead, and each believes the other's word of itself.
     VirtualFleet fleet = fleet(9, 9);
@@ -215,13 +215,13 @@
   }
 
   @Test
-  void aForgottenDaemonDoesNotComeBackByOldNews() {
+  void aRemovedDaemonIsNotAddedAgainByOutdatedUpdates() {
     // Operators see a host that was taken away weeks ago appear again and again.
     // Each daemon forgets it at another time and hears of its death from one that has not yet.
-    MembershipSettings forgetful =
+    MembershipSettings shortRetention =
         new MembershipSettings(250, 100, 3, 1_250, 2_000, 6, 5_000, 30_000, MINUTE, 250, 1_200, 3);
     VirtualFleet fleet =
-        new VirtualFleet(forgetful, new SplittableRandom(10), (from, message) -> {});
+        new VirtualFleet(shortRetention, new SplittableRandom(10), (from, message) -> {});
     startRegion(fleet, "santiago", 7);
     fleet.run(10 * SECOND);
     fleet.kill("santiago-6");
@@ -235,7 +235,7 @@
   }
 
   @Test
-  void thePingsOfADaemonDoNotGrowWithTheFleet() {
+  void theMessageRateOfADaemonDoesNotGrowWithTheFleet() {
     List<Long> pings = new ArrayList<>();
     for (int daemons : new int[] {7, 50}) {
       long[] sent = new long[1];
@@ -254,7 +254,7 @@
   }
 
   @Test
-  void everyDaemonOfALargeFleetFindsAllOthers() {
+  void everyDaemonOfALargeFleetDiscoversAllOthers() {
     VirtualFleet fleet = empty(12);
     IntStream.range(0, 100)
         .forEach(n -> fleet.start("host-" + n, "zone-" + n % 5, n % 2 == 0 ? "north" : "south"));
--- a/core/src/test/java/org/marjoramsail/core/membership/SparseProbesTest.java
+++ b/core/src/test/java/org/marjoramsail/core/membership/SparseProbesTest.java
@@ -27,27 +27,27 @@
    */
   @ParameterizedTest
   @CsvSource({"30, 1", "77, 2", "100, 3", "300, 4"})
-  void aDaemonOfALargeFleetTalksToFewOthers(int daemons, long seed) {
+  void aDaemonOfALargeFleetSendsMessagesToFewOthers(int daemons, long seed) {
     VirtualFleet fleet = fleet(daemons, seed);
     fleet.run(20 * SECOND);
-    Map<String, Set<String>> talkedTo = new HashMap<>();
+    Map<String, Set<String>> receivers = new HashMap<>();
     fleet.cut(
         (from, to) -> {
-          talkedTo.computeIfAbsent(from.host(), unused -> new HashSet<>()).add(to.host());
+          receivers.computeIfAbsent(from.host(), unused -> new HashSet<>()).add(to.host());
           return false;
         });
     fleet.run(10 * SECOND);
 
     int few = Integer.SIZE - Integer.numberOfLeadingZeros(daemons);
-    assertThat(talkedTo).hasSize(daemons);
+    assertThat(receivers).hasSize(daemons);
     // Those that it pings, those that ping it, and now and then one whose whole table it compares.
-    assertThat(talkedTo.values()).allMatch(others -> others.size() <= 2 * few + 2);
+    assertThat(receivers.values()).allMatch(others -> others.size() <= 2 * few + 2);
   }
 
   /** A host lost its power; requests went on to it from hosts that had not heard of its death. */
   @ParameterizedTest
   @CsvSource({"30, 1", "30, 2", "77, 3", "77, 4", "77, 5", "100, 6", "100, 7"})
-  void allOfALargeFleetKnowOfADeathInTime(int daemons, long seed) {
+  void allDaemonsOfALargeFleetDetectAFailureBeforeTheDeadline(int daemons, long seed) {
     VirtualFleet fleet = fleet(daemons, seed);
     fleet.run(20 * SECOND);
     assertThat(fleet.running())
