--- a/core/src/main/java/org/marjoramsail/core/membership/AckMessage.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/AckMessage.java
@@ -4,14 +4,14 @@
 import org.marjoramsail.core.message.PeerMessage;
 
 /**
- * Answers a ping, or a request to ping another daemon once that one has answered.
+ * Response to a ping, or to a request to ping another daemon after that one has responded.
  *
- * @param sequence that of the ping or the request
- * @param updates news of daemons
+ * @param sequence the sequence number of the ping or the request
+ * @param updates disseminated updates on daemons
  */
 public record AckMessage(long sequence, List<MemberUpdate> updates) implements PeerMessage {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the list to make the record immutable. */
   public AckMessage {
     updates = List.copyOf(updates);
   }
--- a/core/src/main/java/org/marjoramsail/core/membership/Departure.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/Departure.java
@@ -1,6 +1,6 @@
 package org.marjoramsail.core.membership;
 
-/** How far a run of a daemon has come on its way out; it never goes back. */
+/** Progress of the planned departure of an incarnation; it only advances. */
 public enum Departure {
   STAYING,
   LEAVING,
--- a/core/src/main/java/org/marjoramsail/core/membership/DigestMessage.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/DigestMessage.java
@@ -4,15 +4,15 @@
 import org.marjoramsail.core.message.PeerMessage;
 
 /**
- * A summary of all that a daemon knows of others; a receiver that knows something else answers with
- * what differs.
+ * Digest of the membership table of a daemon; a receiver with a different table responds with the
+ * buckets that differ.
  *
- * @param buckets a hash for each bucket of hosts
- * @param updates news of daemons
+ * @param buckets the hash of each bucket of hosts
+ * @param updates disseminated updates on daemons
  */
 public record DigestMessage(List<Long> buckets, List<MemberUpdate> updates) implements PeerMessage {
 
-  /** Copies the lists, so that the value cannot change. */
+  /** Copies the lists to make the record immutable. */
   public DigestMessage {
     buckets = List.copyOf(buckets);
     updates = List.copyOf(updates);
--- a/core/src/main/java/org/marjoramsail/core/membership/Dissemination.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/Dissemination.java
@@ -6,9 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * News that still have to be told, the least told required, so that a burst starves none of them.
- */
+/** Updates to disseminate, the least often sent first, so that a burst starves none of them. */
 final class Dissemination {
 
   private static final class Item {
@@ -26,17 +24,17 @@
 
   private final Map<String, Item> items = new HashMap<>();
 
-  /** Queues news; older news of the same host are not told any more. */
+  /** Queues an update; it replaces an earlier update of the same host. */
   void add(MemberUpdate update) {
     items.put(update.host(), new Item(update));
   }
 
   /**
-   * Removes and returns the news for one message.
+   * Returns the updates for one message and removes those that were sent often enough.
    *
-   * @param first what the receiver must hear in any case, beyond the bound and uncounted
-   * @param maximumBytes an upper bound for the rest, in bytes
-   * @param maximumTransmissions how often each is told in all
+   * @param required updates to send in any case, in addition to the limit and without counting
+   * @param maximumBytes maximum size of the other updates, in bytes
+   * @param maximumTransmissions number of messages that each update is sent in
    */
   List<MemberUpdate> take(List<MemberUpdate> required, int maximumBytes, int maximumTransmissions) {
     List<MemberUpdate> taken = new ArrayList<>(required);
--- a/core/src/main/java/org/marjoramsail/core/membership/Health.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/Health.java
@@ -1,6 +1,6 @@
 package org.marjoramsail.core.membership;
 
-/** Whether a daemon answers; of two beliefs with one version, the later constant wins. */
+/** Health of a daemon; of two updates with the same version, the later constant wins. */
 public enum Health {
   ALIVE,
   SUSPECT,
--- a/core/src/main/java/org/marjoramsail/core/membership/Member.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/Member.java
@@ -3,16 +3,15 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * One daemon as another sees it.
+ * State of a daemon as observed by another daemon.
  *
- * @param id its run
- * @param address the IP number on which it listens for daemons
- * @param port the TCP port on which it listens for daemons
- * @param availabilityZone where it runs
+ * @param id its identifier, with its incarnation
+ * @param address the IP address on which it listens for other daemons
+ * @param port the TCP port on which it listens for other daemons
+ * @param availabilityZone its availability zone
  * @param region the region of that availability zone
- * @param state what is believed of it
- * @param milliCores what its host gives it of a processor, in thousandths of a core; zero if
- *     unknown
+ * @param state its observed state
+ * @param milliCores processor capacity available to it, in thousandths of a core; zero if unknown
  */
 public record Member(
     DaemonId id,
@@ -23,7 +22,7 @@
     MemberState state,
     int milliCores) {
 
-  /** A daemon whose processor is not known. */
+  /** Creates a member with unknown processor capacity. */
   public Member(
       DaemonId id,
       String address,
--- a/core/src/main/java/org/marjoramsail/core/membership/MemberEntry.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/MemberEntry.java
@@ -4,10 +4,10 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * What is believed of one host's newest run.
+ * Entry of the membership table: the observed state of the newest incarnation on a host.
  *
- * @param update the belief, as others are told it
- * @param sinceMillis when its health or its departure last changed here
+ * @param update the state, as it is sent to other daemons
+ * @param sinceMillis local time of the last change of its health, departure or version
  */
 record MemberEntry(MemberUpdate update, long sinceMillis) {
 
@@ -40,13 +40,13 @@
   }
 
   /**
-   * Joins a belief of the same run into this one. The result does not depend on the order in which
-   * beliefs are heard: a departure only advances, and health goes by version, which the run itself
-   * raises, then by severity.
+   * Merges an update of the same incarnation into this entry. The result does not depend on the
+   * order of updates: a departure only advances, and health is ordered by version, which only the
+   * incarnation itself increases, then by severity.
    *
-   * <p>A death that others report is a suspicion here, so that a daemon is dropped only by those
-   * that had the time to hear its refutation. Otherwise two sides of a network cut would drop their
-   * own neighbours on the word of the other side as soon as they merge.
+   * <p>A reported death is treated as a suspicion, so that a daemon is declared dead only after it
+   * had time to refute that. Otherwise, two sides of a network partition would declare their own
+   * neighbours dead, based on updates from the other side, as soon as they merge.
    */
   MemberEntry merge(MemberUpdate received, long nowMillis) {
     Departure departure =
@@ -94,7 +94,10 @@
     return update.health() == Health.SUSPECT ? MemberState.SUSPECT : MemberState.ALIVE;
   }
 
-  /** Equal where two daemons agree; suspicions pass too soon to be compared. */
+  /**
+   * Returns a hash that is equal on daemons with the same state of this entry. It excludes
+   * suspicions, which are too short-lived to be compared.
+   */
   long digest() {
     if (isInactive()) {
       return 0;
--- a/core/src/main/java/org/marjoramsail/core/membership/MemberState.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/MemberState.java
@@ -1,18 +1,18 @@
 package org.marjoramsail.core.membership;
 
-/** What this daemon believes of another. */
+/** State of a daemon as observed by another daemon. */
 public enum MemberState {
-  /** Answers, directly or by way of others. */
+  /** The daemon responds, directly or to other daemons. */
   ALIVE(true, true),
-  /** Did not answer; dead unless it refutes this in time. */
+  /** The daemon did not respond and will be declared dead unless it refutes the suspicion. */
   SUSPECT(true, true),
-  /** Said that it is leaving; serves what it has and takes over nothing. */
+  /** The daemon announced its departure; it completes its work and takes over no shards. */
   LEAVING(true, false),
-  /** Runs in a region that does not answer at all; it may well be serving there. */
+  /** The whole region of the daemon is unreachable; the daemon may be serving there. */
   UNREACHABLE(false, false),
-  /** Did not refute a suspicion in time. */
+  /** The daemon did not refute a suspicion before its timeout. */
   DEAD(false, false),
-  /** Has left of its own will. */
+  /** The daemon has completed its planned departure. */
   LEFT(false, false);
 
   private final boolean reachable;
@@ -23,12 +23,12 @@
     this.eligible = eligible;
   }
 
-  /** Whether it makes sense to send it messages. */
+  /** Returns whether messages should be sent to the daemon. */
   public boolean isReachable() {
     return reachable;
   }
 
-  /** Whether it may own shards. */
+  /** Returns whether the daemon may own shards. */
   public boolean isEligible() {
     return eligible;
   }
--- a/core/src/main/java/org/marjoramsail/core/membership/MemberTable.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/MemberTable.java
@@ -13,7 +13,7 @@
 import java.util.function.Predicate;
 import org.marjoramsail.core.model.DaemonId;
 
-/** All that one daemon believes of others, by host, with a digest that is kept up to date. */
+/** Membership table of one daemon, by host, with an incrementally updated digest. */
 final class MemberTable {
 
   static final int BUCKETS = 64;
@@ -39,7 +39,7 @@
     return Optional.ofNullable(entries.get(host));
   }
 
-  /** The entry of exactly this run. */
+  /** Returns the entry of exactly this incarnation. */
   Optional<MemberEntry> find(DaemonId daemon) {
     return find(daemon.host()).filter(entry -> entry.id().equals(daemon));
   }
@@ -63,7 +63,7 @@
     }
   }
 
-  /** Daemons that are neither dead nor gone, with this one. */
+  /** Returns the number of daemons that are neither dead nor left, including this one. */
   int activeCount() {
     return activeCount;
   }
@@ -76,13 +76,13 @@
     return suspects.stream().map(entries::get).toList();
   }
 
-  /** Hosts of other daemons of a region that are neither dead nor gone. */
+  /** Returns the hosts of other daemons of a region that are neither dead nor left. */
   List<String> reachableIn(String region) {
     refreshLists();
     return reachableByRegion.getOrDefault(region, List.of());
   }
 
-  /** The regions of all daemons that are neither dead nor gone, but for the own one. */
+  /** Returns the other regions with daemons that are neither dead nor left. */
   Set<String> otherRegions() {
     refreshLists();
     Set<String> regions = new TreeSet<>(reachableByRegion.keySet());
@@ -98,7 +98,7 @@
     return digest;
   }
 
-  /** The buckets in which another daemon's digest differs; all when it counts them differently. */
+  /** Returns the buckets in which a digest differs; all if it has another number of buckets. */
   List<Integer> differing(List<Long> other) {
     List<Integer> differing = new ArrayList<>();
     for (int bucket = 0; bucket < BUCKETS; bucket++) {
@@ -117,7 +117,7 @@
         .toList();
   }
 
-  /** Forgets daemons that were dead or gone before a moment; gives whether there were any. */
+  /** Removes daemons that were dead or left before a time; returns whether there were any. */
   boolean removeInactiveBefore(long millis) {
     return entries
         .values()
@@ -132,7 +132,7 @@
     return entries.values().stream().filter(MemberEntry::isInactive).toList();
   }
 
-  /** The addresses at which a daemon is known to run. */
+  /** Returns the addresses of daemons that are neither dead nor left. */
   Set<PeerAddress> activeAddresses() {
     Set<PeerAddress> addresses = new LinkedHashSet<>();
     for (MemberEntry entry : entries.values()) {
--- a/core/src/main/java/org/marjoramsail/core/membership/MemberUpdate.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/MemberUpdate.java
@@ -6,20 +6,20 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * What one daemon tells another of a third. On the wire it is a list without field names, since
- * almost all bytes of membership are these; new components go to the end.
+ * Update on the state of a daemon, as disseminated between daemons. It is serialised as an array
+ * without field names, since updates are most of the traffic of the failure detector. New
+ * components have to be added at the end.
  *
- * @param host the host that it is about
- * @param incarnation the run that it is about
- * @param version raised by that daemon alone, each time that it refutes a suspicion
- * @param health whether it answers
- * @param departure how far it is on its way out
- * @param address the IP number on which it listens for daemons
- * @param port the TCP port on which it listens for daemons
- * @param availabilityZone where it runs
+ * @param host the host of the daemon
+ * @param incarnation the incarnation of the daemon
+ * @param version increased only by the daemon itself, whenever it refutes a suspicion
+ * @param health the health of the daemon
+ * @param departure the progress of its departure
+ * @param address the IP address on which it listens for other daemons
+ * @param port the TCP port on which it listens for other daemons
+ * @param availabilityZone its availability zone
  * @param region the region of that availability zone
- * @param milliCores what its host gives it of a processor, in thousandths of a core; zero if
- *     unknown
+ * @param milliCores processor capacity available to it, in thousandths of a core; zero if unknown
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 @JsonIgnoreProperties(ignoreUnknown = true)
@@ -37,7 +37,7 @@
 
   private static final int NUMBER_AND_HEADER_BYTES = 40;
 
-  /** Takes components that are present. */
+  /** Requires that all components are present. */
   public MemberUpdate {
     Objects.requireNonNull(host, "host");
     Objects.requireNonNull(health, "health");
@@ -47,7 +47,7 @@
     Objects.requireNonNull(region, "region");
   }
 
-  /** News of a daemon whose processor is not known. */
+  /** Creates an update with unknown processor capacity. */
   public MemberUpdate(
       String host,
       long incarnation,
@@ -61,17 +61,17 @@
     this(host, incarnation, version, health, departure, address, port, availabilityZone, region, 0);
   }
 
-  /** The run that it is about. */
+  /** Returns the identifier of the daemon, with its incarnation. */
   public DaemonId id() {
     return new DaemonId(host, incarnation);
   }
 
-  /** Where that daemon listens. */
+  /** Returns the address on which the daemon listens. */
   public PeerAddress listening() {
     return new PeerAddress(address, port);
   }
 
-  /** An upper bound for its bytes on the wire when names are ASCII. */
+  /** Returns an upper bound of the serialised size in bytes, for ASCII names. */
   int estimatedBytes() {
     return NUMBER_AND_HEADER_BYTES
         + host.length()
--- a/core/src/main/java/org/marjoramsail/core/membership/MembershipAction.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/MembershipAction.java
@@ -3,29 +3,29 @@
 import org.marjoramsail.core.message.PeerMessage;
 import org.marjoramsail.core.model.DaemonId;
 
-/** What {@link MembershipProtocol} wants done. */
+/** Action that the I/O layer of a {@link MembershipProtocol} has to perform. */
 public sealed interface MembershipAction {
 
   /**
-   * Send to a known run.
+   * Send a message to a known incarnation.
    *
-   * @param to whom
-   * @param message what
+   * @param to the receiving daemon
+   * @param message the message
    */
   record Send(DaemonId to, PeerMessage message) implements MembershipAction {}
 
   /**
-   * Send to whichever daemon listens at an address.
+   * Send a message to the daemon that listens on an address.
    *
-   * @param to where
-   * @param message what
+   * @param to the address
+   * @param message the message
    */
   record SendToAddress(PeerAddress to, PeerMessage message) implements MembershipAction {}
 
   /**
-   * Tell the listeners.
+   * Notify the listeners of a change.
    *
-   * @param view what is believed now
+   * @param view the current view
    */
   record Changed(MembershipView view) implements MembershipAction {}
 }
--- a/core/src/main/java/org/marjoramsail/core/membership/MembershipProtocol.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/MembershipProtocol.java
@@ -14,20 +14,20 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * Finds out which daemons run: a failure detector in the manner of SWIM, with suspicion, refutation
- * and dissemination on the pings themselves.
+ * Failure detector of the daemons, based on SWIM, with suspicion, refutation and dissemination of
+ * updates by the pings.
  *
- * <p>Each call takes the time in milliseconds and gives what is to be done. Calls must not overlap;
- * the shell calls under one lock.
+ * <p>Each call receives the current time in milliseconds and returns the actions to perform. Calls
+ * must not overlap; the I/O layer holds a lock.
  */
 public final class MembershipProtocol {
 
-  /** Each suspect is checked by about so many daemons in a period, however many there are. */
+  /** Mean number of daemons that ping a suspect in a period, independent of the fleet size. */
   private static final double PINGS_PER_SUSPECT = 8;
 
   private static final int URGENT_PINGS = 3;
 
-  /** Others that are told of a new suspicion at the next tick rather than at the next ping. */
+  /** Number of daemons that are notified of a new suspicion at the next tick. */
   private static final int SUSPICION_PINGS = 2;
 
   private static final double OTHER_REGION_DIGEST_SHARE = 0.25;
@@ -59,10 +59,10 @@
   private long nextUnknownSenderDigestMillis;
 
   /**
-   * Knows no daemon but its own.
+   * Creates a failure detector that has received no updates of other daemons.
    *
-   * @param self this run, alive and staying; version zero
-   * @param seeds addresses to begin with; stale ones and the own one do no harm
+   * @param self this incarnation: alive, staying and with version zero
+   * @param seeds addresses to contact at the start; may contain stale addresses and the own one
    */
   public MembershipProtocol(
       MembershipSettings settings,
@@ -85,37 +85,37 @@
     dissemination.add(self);
   }
 
-  /** What is believed now. */
+  /** Returns the current view. */
   public MembershipView view() {
     return table.view(regions::isReachable);
   }
 
-  /** Where a run listens, if it is the newest one known of its host. */
+  /** Returns the address of an incarnation, if it is the newest one known on its host. */
   public Optional<PeerAddress> addressOf(DaemonId daemon) {
     return table.find(daemon).map(entry -> entry.update().listening());
   }
 
-  /** What is believed of the newest run of a host, if it is known. */
+  /** Returns the observed state of the newest incarnation on a host, if it is known. */
   public Optional<MemberState> stateOf(String host) {
     return table.find(host).map(entry -> entry.state(regions.isReachable(entry.update().region())));
   }
 
-  /** What has been counted since the start. */
+  /** Returns the counters since the start. */
   public MembershipStatistics statistics() {
     return counts.statistics();
   }
 
-  /** A later run of the own host, if one was heard of; then this one should stop. */
+  /** Returns a later incarnation on the own host, if one is known; this one should stop then. */
   public Optional<DaemonId> successor() {
     return successor;
   }
 
-  /** Handles the addresses of the platform's lagging list; they are tried as the seeds are. */
+  /** Sets the addresses of the platform's host list, which may lag; they are used like seeds. */
   public void hostList(List<PeerAddress> addresses) {
     hostList = List.copyOf(addresses);
   }
 
-  /** Does what is due; to be called every {@link MembershipSettings#TICK_MILLIS}. */
+  /** Returns the actions that are due; to be called after each {@link #pauseMillis}. */
   public List<MembershipAction> tick(long nowMillis) {
     long lateMillis = nowMillis - lastTickMillis - expectedPauseMillis;
     if (lateMillis > settings.lateTickMillis() - MembershipSettings.TICK_MILLIS) {
@@ -134,9 +134,9 @@
   }
 
   /**
-   * The pause after which {@link #tick} has something to do, in milliseconds.
+   * Returns the time until {@link #tick} has to be called again, in milliseconds.
    *
-   * <p>While an answer is awaited or a daemon is suspected, times of a fraction of a second count;
+   * <p>While a response is pending or a daemon is suspected, short timeouts have to be checked;
    * otherwise nothing is due before the next ping.
    */
   public long pauseMillis(long nowMillis) {
@@ -146,7 +146,7 @@
     return Math.max(1, nextProbeMillis - nowMillis);
   }
 
-  /** Handles a message of a proven sender. */
+  /** Handles a message of an authenticated sender. */
   public List<MembershipAction> receive(DaemonId from, PeerMessage message, long nowMillis) {
     recordContact(from, nowMillis);
     if (message instanceof PingMessage ping) {
@@ -171,12 +171,12 @@
     return takeActions();
   }
 
-  /** Tells that this daemon takes over nothing any more. */
+  /** Announces that this daemon is leaving and takes over no shards. */
   public List<MembershipAction> leave(long nowMillis) {
     return announceDeparture(Departure.LEAVING, URGENT_PINGS, nowMillis);
   }
 
-  /** Tells that this daemon is gone; the shell stops once the messages are sent. */
+  /** Announces that this daemon has left; the I/O layer stops after sending the messages. */
   public List<MembershipAction> markLeft(long nowMillis) {
     return announceDeparture(
         Departure.LEFT, settings.transmissions(table.activeCount()), nowMillis);
@@ -199,9 +199,9 @@
   }
 
   /**
-   * A process that was stopped for a second finds all its timers expired at once and would accuse
-   * whoever it had pinged, although their answers wait unread. So it drops what was under way and
-   * gives each suspicion its whole time again.
+   * Guards against false suspicions after a pause of this process: all timers have expired,
+   * although the responses are still unread. So the pending probe is dropped and the timeout of
+   * each suspicion is restarted.
    */
   private void resumeAfterPause(long nowMillis) {
     counts.pauses++;
@@ -250,7 +250,7 @@
     }
   }
 
-  /** Others of the own region, those of other availability zones first: another path, if any. */
+  /** Selects other daemons of the own region, preferably on other paths: in other zones. */
   private List<MemberEntry> helpers(DaemonId target) {
     List<MemberEntry> otherZones = new ArrayList<>();
     List<MemberEntry> sameZone = new ArrayList<>();
@@ -284,7 +284,7 @@
     }
   }
 
-  /** Tells suspects that they are, so that those that run can refute it. */
+  /** Pings suspects with the suspicion, so that they can refute it. */
   private void pingSuspects() {
     double share = PINGS_PER_SUSPECT / Math.max(PINGS_PER_SUSPECT, table.activeCount());
     for (MemberEntry suspect : table.suspects()) {
@@ -309,8 +309,8 @@
   }
 
   /**
-   * Each daemon waits out a suspicion from when it hears of it, so the slowest to hear is the last
-   * to know of a death. Whoever hears of one tells others at once, all new ones together.
+   * Sends new suspicions at the next tick. Each daemon starts the timeout of a suspicion when it
+   * receives it, so that slow dissemination would delay the detection of a failure.
    */
   private void spreadSuspicions() {
     if (hasNewSuspicions) {
@@ -330,8 +330,8 @@
   }
 
   /**
-   * Tries one address where no daemon is known to run: a seed, one of the platform's list, or that
-   * of a daemon held for dead. This joins a new daemon, and joins again what a cut had separated.
+   * Pings one address without a known active daemon: a seed, an address of the platform's host list
+   * or that of a daemon declared dead. This adds new daemons and ends network partitions.
    */
   private void pingSeed(long nowMillis) {
     if (nowMillis < nextSeedMillis) {
@@ -393,7 +393,7 @@
     }
   }
 
-  /** What a region was suspected of before it was cut off must be refutable after. */
+  /** Restarts the suspicions in a region that is reachable again, so that they can be refuted. */
   private void restartSuspicions(String region, long nowMillis) {
     for (MemberEntry suspect : table.suspects()) {
       if (suspect.update().region().equals(region)) {
@@ -413,9 +413,9 @@
   }
 
   /**
-   * Whoever holds this daemon for suspect hears the refutation in the answer, however often others
-   * were told before: a daemon that wakes from a pause finds more such pings than it tells news,
-   * and the last of those that accuse it would declare it dead.
+   * Responds to a ping. A sender that suspects this daemon always receives the refutation in the
+   * response. Otherwise a daemon that resumes after a pause could receive more such pings than the
+   * number of transmissions of an update, and the remaining senders would declare it dead.
    */
   private void acknowledge(DaemonId from, PingMessage ping) {
     List<MemberUpdate> required = new ArrayList<>();
@@ -444,8 +444,8 @@
   }
 
   /**
-   * A sender that is not known, or known as a later run than it is, is asked what it knows: its
-   * answer says who it is, and tells it what it lacks.
+   * Sends a digest to an unknown sender, unless a later incarnation on its host is known. Its
+   * response contains its own entry, and the exchange updates both tables.
    */
   private void requestStateOfUnknownSender(DaemonId from, long nowMillis) {
     boolean known = table.find(from).isPresent();
@@ -485,7 +485,7 @@
     Optional<MemberEntry> known = table.find(received.host());
     boolean inactive = received.health() == Health.DEAD || received.departure() == Departure.LEFT;
     if (known.isEmpty()) {
-      // A daemon that was forgotten as dead must not come back to be forgotten once more.
+      // Guards against adding a removed daemon again by outdated updates of its death.
       if (!inactive) {
         adopt(new MemberEntry(received, nowMillis));
       }
@@ -502,7 +502,7 @@
     }
   }
 
-  /** Believes something new, tells it on, and counts it. */
+  /** Stores a changed entry, queues it for dissemination and counts the change. */
   private void adopt(MemberEntry entry) {
     Optional<MemberEntry> previous = table.find(entry.update().host());
     boolean sameIncarnation =
@@ -540,7 +540,7 @@
     return sender.isInactive() || sender.isSuspect();
   }
 
-  /** News for a daemon, with what it is accused of required. */
+  /** Returns updates for a daemon, including a suspicion or death of the daemon itself. */
   private List<MemberUpdate> updatesFor(MemberEntry receiver) {
     return takeUpdates(isSuspectOrInactive(receiver) ? List.of(receiver.update()) : List.of());
   }
--- a/core/src/main/java/org/marjoramsail/core/membership/MembershipSettings.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/MembershipSettings.java
@@ -1,22 +1,23 @@
 package org.marjoramsail.core.membership;
 
 /**
- * Times and bounds of the failure detector.
+ * Timeouts and limits of the failure detector.
  *
- * @param probePeriodMillis how often a daemon of the own region is pinged, in milliseconds
- * @param ackTimeoutMillis how long a direct answer may take before others are asked to ping
- * @param indirectProbes how many others are asked
- * @param suspicionMillis how long a suspicion may stand among ten daemons; it grows with the
- *     logarithm of their number, because a refutation takes longer to spread
- * @param otherRegionPeriodMillis how often a daemon of each other region is pinged
- * @param regionMisses how many pings in a row a region leaves unanswered before it counts as
+ * @param probePeriodMillis interval between pings of daemons of the own region, in milliseconds
+ * @param ackTimeoutMillis timeout of a direct ping, after which others are requested to ping
+ * @param indirectProbes number of daemons that are requested to ping
+ * @param suspicionMillis timeout of a suspicion among ten daemons; it grows with the logarithm of
+ *     their number, since a refutation then takes longer to spread
+ * @param otherRegionPeriodMillis interval between pings of each other region
+ * @param regionMisses number of consecutive pings without a response after which a region is
  *     unreachable
- * @param seedPeriodMillis how often an address without a known live daemon is tried
- * @param digestPeriodMillis how often the full state is compared with that of another daemon
- * @param forgetMillis how long a daemon that is dead or has left is remembered
- * @param lateTickMillis a tick that comes this late means that this process was paused
- * @param maximumUpdateBytes bytes of news in one message, about
- * @param retransmitFactor news are sent this often, times the logarithm of the number of daemons
+ * @param seedPeriodMillis interval between pings of addresses without a known daemon
+ * @param digestPeriodMillis interval between comparisons of the table with that of another daemon
+ * @param forgetMillis retention time of a daemon that is dead or has left
+ * @param lateTickMillis delay of a tick from which on the process is assumed to have been paused
+ * @param maximumUpdateBytes approximate maximum size of the updates in one message
+ * @param retransmitFactor number of transmissions of an update, per logarithm of the number of
+ *     daemons
  */
 public record MembershipSettings(
     long probePeriodMillis,
@@ -32,17 +33,16 @@
     int maximumUpdateBytes,
     int retransmitFactor) {
 
-  /** How often {@link MembershipProtocol#tick} wants to be called, in milliseconds. */
+  /** Minimum interval between calls of {@link MembershipProtocol#tick}, in milliseconds. */
   public static final long TICK_MILLIS = 50;
 
   private static final double SMALL_FLEET = 10;
 
   /**
-   * Values for links with a round trip of a few milliseconds.
+   * Returns values for networks with a round-trip time of a few milliseconds.
    *
-   * <p>A pause of one second starts a suspicion after 0.25 s at the earliest. Each daemon of a
-   * small fleet tells the suspect of it every 0.25 s, so that its refutation reaches all as soon as
-   * it wakes; 1.25 s of suspicion leave a reserve of half a second.
+   * <p>The timeout of a suspicion is long enough for a daemon that was paused for one second to
+   * refute the suspicion when it resumes.
    */
   public static MembershipSettings defaults() {
     return new MembershipSettings(
--- a/core/src/main/java/org/marjoramsail/core/membership/MembershipStatistics.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/MembershipStatistics.java
@@ -1,17 +1,17 @@
 package org.marjoramsail.core.membership;
 
 /**
- * What a failure detector has counted since it started.
+ * Counters of a failure detector since its start.
  *
  * @param probes pings of daemons of the own region
- * @param failedProbes those that nobody answered
- * @param suspicions beliefs that became suspect
+ * @param failedProbes pings without a direct or indirect response
+ * @param suspicions daemons that became suspect
  * @param refutations suspicions of this daemon that it refuted
- * @param deaths beliefs that became dead
- * @param revivals dead runs that proved to be alive
- * @param pauses times at which this process was found to have been paused
- * @param digests comparisons of the full state that were started
- * @param states answers to a digest that differed
+ * @param deaths daemons that were declared dead
+ * @param revivals daemons that were declared dead and turned out to be alive
+ * @param pauses detected pauses of this process
+ * @param digests comparisons of the table that this daemon started
+ * @param states responses to a digest that differed
  */
 public record MembershipStatistics(
     long probes,
--- a/core/src/main/java/org/marjoramsail/core/membership/MembershipView.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/MembershipView.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * The daemons at one moment, as one of them sees them.
+ * Snapshot of the membership as observed by one daemon.
  *
- * @param self the daemon whose view it is
- * @param members all known daemons with {@code self}, by host name
+ * @param self the observing daemon
+ * @param members all known daemons including {@code self}, ordered by host
  */
 public record MembershipView(Member self, List<Member> members) {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the list to make the record immutable. */
   public MembershipView {
     members = List.copyOf(members);
   }
 
-  /** The daemons of this region that may own shards. */
+  /** Returns the daemons of a region that may own shards. */
   public List<Member> eligibleInRegion(String region) {
     return members.stream()
         .filter(member -> member.state().isEligible() && member.region().equals(region))
@@ -23,11 +23,11 @@
   }
 
   /**
-   * Which part of a budget that all daemons share this one may spend: all of it while it sees half
-   * of the known daemons or more, else the share that it sees.
+   * Returns the share of a common budget that this daemon may use: all of it while at least half of
+   * the known daemons are reachable, else the share of the reachable ones.
    *
-   * <p>Daemons beyond a cut decide for the same organisations with full budgets of their own, and
-   * what both sides grant adds up at the upstreams. The smaller side keeps to its part.
+   * <p>During a network partition, both sides grant requests of the same organisations. The smaller
+   * side limits its grants so that upstreams are not overloaded.
    */
   public double budgetShare() {
     long known = members.stream().filter(member -> member.state() != MemberState.LEFT).count();
--- a/core/src/main/java/org/marjoramsail/core/membership/PeerAddress.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/PeerAddress.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * Where a daemon listens for other daemons.
+ * Address on which a daemon listens for other daemons.
  *
- * @param address an IP number
+ * @param address an IP address
  * @param port a TCP port
  */
 public record PeerAddress(String address, int port) {
 
-  /** Accepts an address that is present. */
+  /** Requires that the address is present. */
   public PeerAddress {
     Objects.requireNonNull(address, "address");
   }
--- a/core/src/main/java/org/marjoramsail/core/membership/PingMessage.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/PingMessage.java
@@ -4,14 +4,14 @@
 import org.marjoramsail.core.message.PeerMessage;
 
 /**
- * Asks whether a daemon answers.
+ * Ping that requests a response, to check whether the receiver is alive.
  *
- * @param sequence stands in the answer
- * @param updates news of daemons
+ * @param sequence sequence number, repeated in the response
+ * @param updates disseminated updates on daemons
  */
 public record PingMessage(long sequence, List<MemberUpdate> updates) implements PeerMessage {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the list to make the record immutable. */
   public PingMessage {
     updates = List.copyOf(updates);
   }
--- a/core/src/main/java/org/marjoramsail/core/membership/PingRequestMessage.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/PingRequestMessage.java
@@ -6,16 +6,17 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * Asks a third daemon to ping one that did not answer, so that one bad path is no death.
+ * Request to ping a daemon that did not respond, so that the failure of one network path does not
+ * cause a suspicion.
  *
- * @param sequence stands in the answer
- * @param target whom to ping
- * @param updates news of daemons
+ * @param sequence sequence number, repeated in the response
+ * @param target the daemon to ping
+ * @param updates disseminated updates on daemons
  */
 public record PingRequestMessage(long sequence, DaemonId target, List<MemberUpdate> updates)
     implements PeerMessage {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the list to make the record immutable. */
   public PingRequestMessage {
     Objects.requireNonNull(target, "target");
     Objects.requireNonNull(target.host(), "host");
--- a/core/src/main/java/org/marjoramsail/core/membership/ProbeNeighbours.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/ProbeNeighbours.java
@@ -7,17 +7,16 @@
 import java.util.List;
 
 /**
- * Chooses the few daemons that one daemon pings.
+ * Selects the daemons that one daemon pings.
  *
- * <p>Pinging all of a fleet in turn takes a connection to each, which a host opens, proves and
- * keeps though it has nothing to say to most: 2,926 connections in a fleet of 77. All hosts are put
- * in a circle by the hash of their names, and each pings those at distances of a power of two. So
- * each is pinged as often as if all were pinged in turn, by a number of others that grows with the
- * logarithm of the fleet, and news reach all in as many steps.
+ * <p>Hosts are ordered in a ring by the hash of their names, and each pings those at distances of
+ * powers of two. The number of connections of a host and the number of hops of an update to all
+ * hosts thus grow with the logarithm of the fleet size; pinging all others would require a
+ * connection to each.
  */
 final class ProbeNeighbours {
 
-  /** Fleets of this size or less ping all, which costs no more. */
+  /** Maximum size of a fleet in which each daemon pings all others. */
   private static final int SMALL_FLEET = 8;
 
   private static final Comparator<String> BY_HASH =
@@ -27,10 +26,10 @@
   private ProbeNeighbours() {}
 
   /**
-   * The hosts to ping.
+   * Returns the hosts to ping.
    *
-   * @param self the host that pings
-   * @param others the hosts that can be pinged
+   * @param self the own host
+   * @param others the other reachable hosts
    */
   static List<String> select(String self, Collection<String> others) {
     if (others.size() < SMALL_FLEET) {
--- a/core/src/main/java/org/marjoramsail/core/membership/ProbeSchedule.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/ProbeSchedule.java
@@ -9,20 +9,20 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * Whom to ping next in the own region, and the ping that is under way. Each of {@linkplain
- * ProbeNeighbours a few daemons} is pinged once in a round of random order, so that the time to the
- * next ping of any is bounded.
+ * Schedule of the pings in the own region, with the ping in flight. Each of {@linkplain
+ * ProbeNeighbours a few daemons} is pinged once in a round of random order, which limits the time
+ * between two pings of the same daemon.
  */
 final class ProbeSchedule {
 
   /**
-   * A ping that waits for its answer.
+   * Ping without a response so far.
    *
-   * @param target whom
-   * @param version the target's version when it was pinged
-   * @param sequence stands in the answer
-   * @param startedMillis when it was sent
-   * @param indirect whether others have been asked to ping
+   * @param target the daemon that was pinged
+   * @param version the version of the target when it was pinged
+   * @param sequence sequence number, repeated in the response
+   * @param startedMillis time at which it was sent
+   * @param indirect whether others have been requested to ping the target
    */
   record Probe(DaemonId target, int version, long sequence, long startedMillis, boolean indirect) {
 
@@ -55,7 +55,7 @@
     return current.filter(probe -> probe.sequence() == sequence).isPresent();
   }
 
-  /** The next host of the round that is still among those that can be pinged. */
+  /** Returns the next daemon of the round that is neither dead nor left. */
   Optional<MemberEntry> next(MemberTable table) {
     if (round.isEmpty()) {
       MemberUpdate self = table.self().update();
--- a/core/src/main/java/org/marjoramsail/core/membership/RegionReachability.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/RegionReachability.java
@@ -4,12 +4,11 @@
 import java.util.Map;
 
 /**
- * Which other regions answer.
+ * Tracks which other regions are reachable.
  *
- * <p>While the link between two regions is cut, each would take all daemons of the other for dead,
- * and tell so when they merge. So a daemon never accuses one of another region; it finds a region
- * unreachable as a whole, keeps that to itself, and believes of each daemon there what its own
- * region says.
+ * <p>Guards against false deaths after a partition between regions: a daemon never suspects a
+ * daemon of another region. It considers a region unreachable as a whole, does not disseminate
+ * that, and receives the state of each daemon there from updates of that region.
  */
 final class RegionReachability {
 
@@ -32,15 +31,15 @@
     return status == null || status.reachable;
   }
 
-  /** Whether a daemon of this region is to be pinged now. */
+  /** Returns whether a daemon of this region has to be pinged now. */
   boolean isDue(String region, long nowMillis) {
     return nowMillis >= status(region, nowMillis).nextPingMillis;
   }
 
   /**
-   * Notes a new ping, and that the last one was missed if nothing came since.
+   * Records a new ping; counts the previous one as missed if no message arrived since.
    *
-   * @return whether the region has just become unreachable
+   * @return whether the region became unreachable by this call
    */
   boolean recordPing(String region, long nowMillis) {
     Status status = status(region, nowMillis);
@@ -57,9 +56,9 @@
   }
 
   /**
-   * Notes that a daemon of this region was heard.
+   * Records a message from a daemon of this region.
    *
-   * @return whether the region was unreachable until now
+   * @return whether the region was unreachable before this call
    */
   boolean recordContact(String region) {
     Status status = regions.get(region);
@@ -73,7 +72,7 @@
     return wasUnreachable;
   }
 
-  /** Takes no miss for granted that fell into a pause of this process. */
+  /** Discards all missed pings, since they may be due to a pause of this process. */
   void reset() {
     for (Status status : regions.values()) {
       status.responsePending = false;
--- a/core/src/main/java/org/marjoramsail/core/membership/RelayedPings.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/RelayedPings.java
@@ -5,16 +5,16 @@
 import java.util.Optional;
 import org.marjoramsail.core.model.DaemonId;
 
-/** Pings that this daemon sent for others, until they are answered or too old to matter. */
+/** Pings that this daemon sent on request of others; limited in number, oldest removed first. */
 final class RelayedPings {
 
   private static final int MAXIMUM = 256;
 
   /**
-   * Who waits for the answer.
+   * Request for a relayed ping.
    *
-   * @param requester whom to tell
-   * @param sequence that of the request
+   * @param requester the daemon that receives the response
+   * @param sequence the sequence number of the request
    */
   record Relay(DaemonId requester, long sequence) {}
 
--- a/core/src/main/java/org/marjoramsail/core/membership/VirtualFleet.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/VirtualFleet.java
@@ -17,8 +17,8 @@
 import org.marjoramsail.core.time.ManualClock;
 
 /**
- * Many failure detectors on one virtual clock, with a network that loses, doubles and reorders; for
- * tests and measurements. The same seed gives the same run.
+ * Simulation of many failure detectors with a virtual clock and a network that loses, duplicates
+ * and reorders messages; for tests and measurements. Runs with the same seed are identical.
  */
 public final class VirtualFleet {
 
@@ -26,25 +26,26 @@
   private static final int PORT = 7400;
   private static final int HOSTS_PER_BLOCK = 250;
 
-  /** Hears of each message that a daemon sends. */
+  /** Listener for the messages that daemons send. */
   @FunctionalInterface
   public interface Observer {
-    /** Called once for each message, before it is lost or delivered. */
+    /** Handles a message before it is lost or delivered. */
     void sent(DaemonId from, PeerMessage message);
   }
 
   /**
-   * How the network treats each message.
+   * Properties of the simulated network.
    *
-   * @param lost share of messages that vanish, from 0 to 1
-   * @param duplicated share of messages that arrive twice, from 0 to 1
-   * @param minimumDelayMillis the shortest way, in milliseconds
-   * @param maximumDelayMillis the longest way, in milliseconds; a difference reorders
+   * @param lost probability that a message is lost, from 0 to 1
+   * @param duplicated probability that a message is duplicated, from 0 to 1
+   * @param minimumDelayMillis minimum latency, in milliseconds
+   * @param maximumDelayMillis maximum latency, in milliseconds; if it exceeds the minimum, messages
+   *     may be reordered
    */
   public record Network(
       double lost, double duplicated, long minimumDelayMillis, long maximumDelayMillis) {
 
-    /** A network between zones of one region, without faults. */
+    /** Network between availability zones of one region, without faults. */
     public static final Network RELIABLE = new Network(0, 0, 1, 2);
   }
 
@@ -80,14 +81,14 @@
   private static final Comparator<PeerAddress> ADDRESS_ORDER =
       Comparator.comparing(PeerAddress::address).thenComparingInt(PeerAddress::port);
 
-  /** Begins without daemons. */
+  /** Creates a fleet without daemons. */
   public VirtualFleet(MembershipSettings settings, RandomGenerator random, Observer observer) {
     this.settings = settings;
     this.random = random;
     this.observer = observer;
   }
 
-  /** Starts a daemon on a new host; the first two serve as seeds for all. */
+  /** Starts a daemon on a new host; the first two hosts are the seeds of all daemons. */
   public DaemonId start(String host, String availabilityZone, String region) {
     int number = nodes.size();
     String address = "10.0." + number / HOSTS_PER_BLOCK + "." + (1 + number % HOSTS_PER_BLOCK);
@@ -107,7 +108,7 @@
             region));
   }
 
-  /** Ends the run of a host, if there is one, and starts the next on the same address. */
+  /** Kills the daemon on a host, if it is running, and starts a new incarnation of it. */
   public DaemonId restart(String host) {
     kill(host);
     MemberUpdate previous = nodes.get(host).self;
@@ -125,12 +126,12 @@
             previous.region()));
   }
 
-  /** Ends a daemon without a word. */
+  /** Kills a daemon without an announcement. */
   public void kill(String host) {
     nodes.get(host).running = false;
   }
 
-  /** Lets a daemon leave cleanly: it says so, goes on for a time, says that it is gone and ends. */
+  /** Makes a daemon announce its departure, and announce that it has left and stop after a time. */
   public void leave(String host, long afterMillis) {
     Node node = nodes.get(host);
     perform(node, node.protocol.leave(clock.millis()));
@@ -143,29 +144,29 @@
         });
   }
 
-  /** Stops a daemon's processor; what arrives waits. */
+  /** Pauses the process of a daemon; messages and timers are delayed until it resumes. */
   public void pause(String host, long millis) {
     Node node = nodes.get(host);
     node.pausedUntilMillis = clock.millis() + millis;
     paused.add(node.self.id());
   }
 
-  /** Sets how the network treats messages from now on. */
+  /** Sets the properties of the network from now on. */
   public void network(Network newNetwork) {
     network = newNetwork;
   }
 
-  /** Lets no message pass from one daemon to another where the predicate holds. */
+  /** Drops all messages for which the predicate holds for sender and receiver. */
   public void cut(BiPredicate<MemberUpdate, MemberUpdate> newCut) {
     cut = newCut;
   }
 
-  /** Ends all cuts. */
+  /** Ends all cuts of the network. */
   public void healCuts() {
     cut = (from, to) -> false;
   }
 
-  /** Lets virtual time pass. */
+  /** Advances the virtual time and performs all events that are due. */
   public void run(long millis) {
     long endMillis = clock.millis() + millis;
     while (!events.isEmpty() && events.peek().dueMillis() <= endMillis) {
@@ -176,12 +177,12 @@
     clock.advance(endMillis - clock.millis());
   }
 
-  /** The virtual time, in milliseconds. */
+  /** Returns the virtual time, in milliseconds. */
   public long millis() {
     return clock.millis();
   }
 
-  /** The newest run of each host that runs now. */
+  /** Returns the daemons that are running. */
   public List<DaemonId> running() {
     return nodes.values().stream()
         .filter(node -> node.running)
@@ -189,22 +190,22 @@
         .toList();
   }
 
-  /** The runs that were paused at any time. */
+  /** Returns the incarnations that were paused at any time. */
   public Set<DaemonId> everPaused() {
     return Set.copyOf(paused);
   }
 
-  /** What a host's newest run believes. */
+  /** Returns the view of the newest incarnation on a host. */
   public MembershipView view(String host) {
     return nodes.get(host).protocol.view();
   }
 
-  /** What a host's newest run has counted. */
+  /** Returns the counters of the newest incarnation on a host. */
   public MembershipStatistics statistics(String host) {
     return nodes.get(host).protocol.statistics();
   }
 
-  /** What a host's newest run believes of the newest run that it knows of another host. */
+  /** Returns the state of the daemon on another host, as observed by the daemon on a host. */
   public Optional<MemberState> observedState(String host, String other) {
     return nodes.get(host).protocol.stateOf(other);
   }
--- a/core/src/main/java/org/marjoramsail/core/membership/package-info.java
+++ b/core/src/main/java/org/marjoramsail/core/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Which daemons run, as this one sees it: a failure detector with incarnations. */
+/** Membership of the daemons: a failure detector with incarnations. */
 package org.marjoramsail.core.membership;
--- a/core/src/test/java/org/marjoramsail/core/membership/MembershipFuzzTest.java
+++ b/core/src/test/java/org/marjoramsail/core/membership/MembershipFuzzTest.java
@@ -19,9 +19,8 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * Random histories of a fleet of two regions against an oracle: once it is quiet, every daemon
- * believes exactly those to be reachable that run, and on the way no belief of a host falls back
- * to an earlier run of it.
+ * Random histories of a fleet of two regions. After all faults have ended, every daemon observes
+ * exactly the running daemons as reachable, and no view ever returns to an earlier incarnation.
  */
 final class MembershipFuzzTest {
 
@@ -95,7 +94,7 @@
     return (from, to) -> side.test(from) != side.test(to);
   }
 
-  /** Ends all faults; one seed has to run, or separate daemons could not know of each other. */
+  /** Ends all faults; one seed has to run, or separate daemons could not discover each other. */
   private static void endFaults(VirtualFleet fleet) {
     fleet.healCuts();
     fleet.network(VirtualFleet.Network.RELIABLE);
@@ -112,7 +111,7 @@
       for (Member member : fleet.view(viewer.host()).members()) {
         Long before = known.put(member.id().host(), member.id().incarnation());
         assertThat(before == null || before <= member.id().incarnation())
-            .as("%s believed %s after incarnation %s", viewer, member.id(), before)
+            .as("%s observed %s after incarnation %s", viewer, member.id(), before)
             .isTrue();
       }
     }
--- a/core/src/test/java/org/marjoramsail/core/membership/MembershipPauseTest.java
+++ b/core/src/test/java/org/marjoramsail/core/membership/MembershipPauseTest.java
@@ -37,8 +37,8 @@
   }
 
   /**
-   * A host froze for a second and woke. Its daemon must not suspect others for answers that waited
-   * on its own side, so it has to notice the pause although its next tick was not due for a while.
+   * Guards against false suspicions after a pause of the host: the daemon has to detect the pause
+   * even if its next tick was not due soon.
    */
   @Test
   void aVeryLateTickIsCountedAsAPauseOfTheProcess() {
@@ -49,9 +49,7 @@
     assertThat(protocol.statistics().pauses()).isEqualTo(1);
   }
 
-  /**
-   * A suspicion expires within fractions of a second, so its ticks are not left to the next ping.
-   */
+  /** Guards against a late timeout of a suspicion, if ticks were as rare as pings. */
   @Test
   void ticksAreFrequentWhileADaemonIsSuspected() {
     DaemonId sender = daemon("b").id();
--- a/core/src/test/java/org/marjoramsail/core/membership/MembershipScenarioTest.java
+++ b/core/src/test/java/org/marjoramsail/core/membership/MembershipScenarioTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.marjoramsail.core.model.DaemonId;
 
-/** Failures of daemons and of the network between them, on a virtual clock with fixed seeds. */
+/** Failures of daemons and of their network, simulated with a virtual clock and fixed seeds. */
 final class MembershipScenarioTest {
 
   private static final long SECOND = 1_000;
@@ -77,8 +77,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
   void aFailedDaemonIsDeclaredDeadByAllOthersWithinThreeSeconds(long seed) {
-    // A ballot waits for a shard owner that no longer exists.
-    // The owner's process dies without a word; the others must learn it to take over its shards.
+    // Guards against requests that wait for a failed shard owner.
     VirtualFleet fleet = fleet(7, seed);
     fleet.run(seed * 37);
     fleet.kill("santiago-3");
@@ -89,8 +88,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
   void noDaemonIsDeclaredDeadInTenMinutesWithFivePercentMessageLoss(long seed) {
-    // Requests in progress are cancelled by survivors although their daemon runs.
-    // Some pings and answers get lost; a detector without second ways takes that for a death.
+    // Guards against cancelling requests of a running daemon because pings or acks were lost.
     VirtualFleet fleet = fleet(7, seed);
     fleet.network(new VirtualFleet.Network(0.05, 0.01, 1, 5));
     fleet.run(10 * MINUTE);
@@ -101,8 +99,8 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
   void aPauseOfOneSecondCausesNoDeclaredDeath(long seed) {
-    // Requests in progress are cancelled because a collector stopped one daemon for a second.
-    // The others suspect it; on waking, it finds its own pings unanswered and would accuse them.
+    // Guards against cancelled requests after a garbage collection pause: the other daemons suspect
+    // the paused one, and its own timeouts have expired when it resumes.
     VirtualFleet fleet = fleet(7, seed);
     for (int pause = 0; pause < 120; pause++) {
       fleet.pause("santiago-" + pause % 7, SECOND);
@@ -114,8 +112,7 @@
 
   @Test
   void aDaemonPausedForTenSecondsIsDeclaredDeadRecoversAndSuspectsNoOther() {
-    // A host is suspended and resumed; afterwards its shards flap and its neighbours seem dead.
-    // It is declared dead while it sleeps, and all its own timers are due when it wakes.
+    // Guards against false suspicions by a daemon whose timers have all expired when it resumes.
     VirtualFleet fleet = fleet(7, 5);
     fleet.pause("santiago-2", 10 * SECOND);
     fleet.run(9 * SECOND);
@@ -128,8 +125,7 @@
 
   @Test
   void aRestartedDaemonReplacesItsFormerIncarnationWithoutASuspicion() {
-    // A daemon is restarted within a second and its former run still owns shards for others.
-    // The new run joins by a seed; its higher incarnation must replace the former one at once.
+    // Guards against shards that remain assigned to the former incarnation of a restarted daemon.
     VirtualFleet fleet = fleet(7, 6);
     DaemonId successor = fleet.restart("santiago-4");
     fleet.run(2 * SECOND);
@@ -140,8 +136,7 @@
 
   @Test
   void aDaemonThatLeavesIsFirstLeavingThenLeftAndNeverSuspected() {
-    // A planned stop looks like a crash: its requests are cancelled in mid-stream.
-    // The daemon says that it is leaving, finishes, and says that it has left.
+    // Guards against a planned departure that is handled like a crash, which would cancel requests.
     VirtualFleet fleet = fleet(7, 7);
     fleet.leave("santiago-5", 5 * SECOND);
     fleet.run(3 * SECOND);
@@ -155,9 +150,8 @@
 
   @Test
   void partitionedRegionsMergeWithoutAFalseDeath() {
-    // The link between regions is cut for five minutes; after it both regions drop live owners.
-    // Each side takes the other for dead and tells so when the link is back.
-    // Meanwhile one daemon dies and one restarts on the far side; only that may be news.
+    // Guards against declaring running daemons dead after a partition between regions. One daemon
+    // fails and one restarts during the partition; only these changes may be disseminated.
     VirtualFleet fleet = twoRegions(7, 8);
     fleet.cut((from, to) -> !from.region().equals(to.region()));
     fleet.run(MINUTE);
@@ -194,8 +188,8 @@
 
   @Test
   void partitionedZonesKeepTheirOwnMembersReachableWhenTheyMerge() {
-    // After a switch is mended, daemons beside each other take each other for dead for a moment.
-    // Both sides had declared the other dead, and each believes the other's word of itself.
+    // Guards against declaring neighbours dead after a partition, because the other side had
+    // declared them dead.
     VirtualFleet fleet = fleet(9, 9);
     String zone = "santiago-zone-0";
     fleet.cut(
@@ -216,8 +210,8 @@
 
   @Test
   void aRemovedDaemonIsNotAddedAgainByOutdatedUpdates() {
-    // Operators see a host that was taken away weeks ago appear again and again.
-    // Each daemon forgets it at another time and hears of its death from one that has not yet.
+    // Guards against adding a removed host again by updates of daemons that have not removed it
+    // yet.
     MembershipSettings shortRetention =
         new MembershipSettings(250, 100, 3, 1_250, 2_000, 6, 5_000, 30_000, MINUTE, 250, 1_200, 3);
     VirtualFleet fleet =
--- a/core/src/test/java/org/marjoramsail/core/membership/SparseProbesTest.java
+++ b/core/src/test/java/org/marjoramsail/core/membership/SparseProbesTest.java
@@ -13,18 +13,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.marjoramsail.core.model.DaemonId;
 
-/** What it costs the daemons of a large fleet to watch each other, and how fast news spread. */
+/** Number of connections and speed of failure detection in large fleets. */
 class SparseProbesTest {
 
   private static final long SECOND = 1_000;
 
-  /** Within this time after a fault a host of a fleet of this size may be behind. */
+  /** Time within which all daemons have to detect a failure. */
   private static final long RECOVERY_MILLIS = 4_000;
 
-  /**
-   * Seventy-seven hosts started at once. Each opened, proved and kept connections to all others,
-   * only to ask them whether they lived, while the first callers waited for it.
-   */
+  /** Guards against slow starts of large fleets because each daemon connects to all others. */
   @ParameterizedTest
   @CsvSource({"30, 1", "77, 2", "100, 3", "300, 4"})
   void aDaemonOfALargeFleetSendsMessagesToFewOthers(int daemons, long seed) {
@@ -40,11 +37,11 @@
 
     int few = Integer.SIZE - Integer.numberOfLeadingZeros(daemons);
     assertThat(receivers).hasSize(daemons);
-    // Those that it pings, those that ping it, and now and then one whose whole table it compares.
+    // A daemon sends to those that it pings, those that ping it and those whose digest it compares.
     assertThat(receivers.values()).allMatch(others -> others.size() <= 2 * few + 2);
   }
 
-  /** A host lost its power; requests went on to it from hosts that had not heard of its death. */
+  /** Guards against requests to a failed host from daemons that have not detected the failure. */
   @ParameterizedTest
   @CsvSource({"30, 1", "30, 2", "77, 3", "77, 4", "77, 5", "100, 6", "100, 7"})
   void allDaemonsOfALargeFleetDetectAFailureBeforeTheDeadline(int daemons, long seed) {
