--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimAction.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimAction.java
@@ -29,5 +29,5 @@
    * @param claim its claim
    * @param result what came of it
    */
-  record Answer(ClaimId claim, ClaimResult result) implements ClaimAction {}
+  record DeliverResult(ClaimId claim, ClaimResult result) implements ClaimAction {}
 }
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimBatcher.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimBatcher.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.marjoramsail.core.claim.ClaimAction.Answer;
+import org.marjoramsail.core.claim.ClaimAction.DeliverResult;
 import org.marjoramsail.core.claim.ClaimAction.ReadPage;
 import org.marjoramsail.core.claim.ClaimAction.WritePage;
 import org.marjoramsail.core.claim.ClaimResult.Kind;
@@ -81,7 +81,7 @@
     Optional<ClaimResult> known =
         phase == Phase.READY ? result(log.orElseThrow(), claim) : Optional.empty();
     if (known.isPresent()) {
-      actions.add(new Answer(claim.id(), known.get()));
+      actions.add(new DeliverResult(claim.id(), known.get()));
     } else if (waiting.size() < settings.maximumWaiting()) {
       waiting.put(claim.id(), new Pending(claim, nowMillis + claim.withinMillis()));
     } else {
@@ -303,7 +303,7 @@
       Claim claim = each.next().claim;
       Optional<ClaimResult> result = result(known, claim);
       if (result.isPresent()) {
-        actions.add(new Answer(claim.id(), result.get()));
+        actions.add(new DeliverResult(claim.id(), result.get()));
         each.remove();
       }
     }
@@ -407,6 +407,6 @@
   }
 
   private void answer(ClaimId claim, Kind kind) {
-    actions.add(new Answer(claim, ClaimResult.of(kind)));
+    actions.add(new DeliverResult(claim, ClaimResult.of(kind)));
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/claim/ClaimFleet.java
+++ b/core/src/test/java/org/marjoramsail/core/claim/ClaimFleet.java
@@ -147,7 +147,7 @@
       act(message.to(), daemon.batcher.claim(claim, clock(daemon)));
     } else if (message.content() instanceof Settlement settlement) {
       act(message.to(), daemon.batcher.settle(settlement, clock(daemon)));
-    } else if (message.content() instanceof ClaimAction.Answer answer
+    } else if (message.content() instanceof ClaimAction.DeliverResult answer
         && answer.claim().daemon().equals(daemon.id)) {
       perform(daemon, daemon.requests.result(answer.claim(), answer.result()), message.to() + 1);
     }
@@ -233,7 +233,7 @@
   private void act(int index, List<ClaimAction> actions) {
     Daemon daemon = daemons.get(index);
     for (ClaimAction action : actions) {
-      if (action instanceof ClaimAction.Answer answer) {
+      if (action instanceof ClaimAction.DeliverResult answer) {
         int to = Integer.parseInt(answer.claim().daemon().host().substring("host-".length()));
         network.add(new Message(to, daemon.id, answer));
       } else {
--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/SegmentBatching.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/SegmentBatching.java
@@ -6,7 +6,7 @@
 import java.util.function.LongFunction;
 import org.marjoramsail.core.claim.Claim;
 import org.marjoramsail.core.claim.ClaimAction;
-import org.marjoramsail.core.claim.ClaimAction.Answer;
+import org.marjoramsail.core.claim.ClaimAction.DeliverResult;
 import org.marjoramsail.core.claim.ClaimAction.ReadPage;
 import org.marjoramsail.core.claim.ClaimAction.WritePage;
 import org.marjoramsail.core.claim.ClaimBatcher;
@@ -20,7 +20,7 @@
 
   /** Sends a result to a claimant. */
   interface Answers {
-    void send(Answer answer);
+    void send(DeliverResult answer);
   }
 
   private final ClaimSettings settings;
@@ -78,7 +78,7 @@
   }
 
   private void perform(ClaimAction action) {
-    if (action instanceof Answer answer) {
+    if (action instanceof DeliverResult answer) {
       answers.send(answer);
     } else if (action instanceof ReadPage read) {
       perform(read);
