--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimBatcher.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimBatcher.java
@@ -34,8 +34,8 @@
   private static final class Pending {
     private final Claim claim;
     private final long deadlineMillis;
-    private boolean perhapsRecorded;
-    private boolean answered;
+    private boolean possiblyRecorded;
+    private boolean resultDelivered;
 
     Pending(Claim claim, long deadlineMillis) {
       this.claim = claim;
@@ -44,112 +44,113 @@
   }
 
   /** A write under way. */
-  private record Flight(
+  private record InFlightWrite(
       int slot, ClaimPage page, Map<ClaimId, Pending> claims, List<Settlement> settlements) {}
 
   private final ClaimSettings settings;
-  private final SegmentTime time;
-  private final Map<ClaimId, Pending> waiting = new LinkedHashMap<>();
-  private final Map<ClaimId, Settlement> unsettled = new LinkedHashMap<>();
+  private final SegmentTime segmentTime;
+  private final Map<ClaimId, Pending> waitingClaims = new LinkedHashMap<>();
+  private final Map<ClaimId, Settlement> waitingSettlements = new LinkedHashMap<>();
   private Phase phase = Phase.UNLOADED;
   private Optional<ClaimLog> log = Optional.empty();
-  private Optional<Flight> flight = Optional.empty();
+  private Optional<InFlightWrite> inFlightWrite = Optional.empty();
   private PageLoader loader;
-  private long reread;
+  private long pendingReread;
   private long nextRead = 1;
-  private long notBeforeMillis = Long.MIN_VALUE;
-  private long settleAtMillis = Long.MAX_VALUE;
+  private long earliestStoreCallMillis = Long.MIN_VALUE;
+  private long settlementsDueMillis = Long.MAX_VALUE;
   private List<ClaimAction> actions = new ArrayList<>();
 
   /** Creates an instance with the bounds and paces, and the time at which it starts. */
   public ClaimBatcher(ClaimSettings settings, long nowMillis) {
     this.settings = settings;
     this.loader = new PageLoader(settings);
-    this.time = new SegmentTime(nowMillis);
+    this.segmentTime = new SegmentTime(nowMillis);
   }
 
   /** Handles a claim; the same again changes nothing, or is answered from what is recorded. */
   public List<ClaimAction> claim(Claim claim, long nowMillis) {
-    time.observe(nowMillis);
-    if (!waiting.containsKey(claim.id()) && !isInFlight(claim.id())) {
-      take(claim, nowMillis);
+    segmentTime.observe(nowMillis);
+    if (!waitingClaims.containsKey(claim.id()) && !isInFlight(claim.id())) {
+      accept(claim, nowMillis);
     }
-    return progress(nowMillis);
+    return advance(nowMillis);
   }
 
-  private void take(Claim claim, long nowMillis) {
-    Optional<ClaimResult> known =
+  private void accept(Claim claim, long nowMillis) {
+    Optional<ClaimResult> recorded =
         phase == Phase.READY ? result(log.orElseThrow(), claim) : Optional.empty();
-    if (known.isPresent()) {
-      actions.add(new DeliverResult(claim.id(), known.get()));
-    } else if (waiting.size() < settings.maximumWaiting()) {
-      waiting.put(claim.id(), new Pending(claim, nowMillis + claim.withinMillis()));
+    if (recorded.isPresent()) {
+      actions.add(new DeliverResult(claim.id(), recorded.get()));
+    } else if (waitingClaims.size() < settings.maximumWaiting()) {
+      waitingClaims.put(claim.id(), new Pending(claim, nowMillis + claim.withinMillis()));
     } else {
-      answer(claim.id(), Kind.STORE_UNAVAILABLE);
+      deliver(claim.id(), Kind.STORE_UNAVAILABLE);
     }
   }
 
   /** Records how a claimed request ended; recorded with a later write. */
   public List<ClaimAction> settle(Settlement settlement, long nowMillis) {
-    time.observe(nowMillis);
-    if (unsettled.size() < settings.maximumWaiting()) {
-      unsettled.putIfAbsent(settlement.id(), settlement);
-      settleAtMillis = Math.min(settleAtMillis, nowMillis + settings.settleWithinMillis());
+    segmentTime.observe(nowMillis);
+    if (waitingSettlements.size() < settings.maximumWaiting()) {
+      waitingSettlements.putIfAbsent(settlement.id(), settlement);
+      settlementsDueMillis =
+          Math.min(settlementsDueMillis, nowMillis + settings.settleWithinMillis());
     }
-    return progress(nowMillis);
+    return advance(nowMillis);
   }
 
   /** Handles a page that was asked for, or that there is none. */
-  public List<ClaimAction> pageRead(ReadPage asked, Optional<VersionedPage> page, long nowMillis) {
-    time.observe(nowMillis);
-    if (phase == Phase.LOADING && loader.isExpecting(asked.read())) {
-      loader.take(asked.read(), asked.slot(), page);
+  public List<ClaimAction> pageRead(ReadPage read, Optional<VersionedPage> page, long nowMillis) {
+    segmentTime.observe(nowMillis);
+    if (phase == Phase.LOADING && loader.isExpecting(read.read())) {
+      loader.take(read.read(), read.slot(), page);
       continueLoading(nowMillis);
-    } else if (phase == Phase.REREADING && asked.read() == reread) {
-      takeReread(asked.slot(), page);
+    } else if (phase == Phase.REREADING && read.read() == pendingReread) {
+      applyReread(read.slot(), page);
     }
-    return progress(nowMillis);
+    return advance(nowMillis);
   }
 
   /** Records that a page could not be read. */
-  public List<ClaimAction> readFailed(ReadPage asked, long nowMillis) {
-    time.observe(nowMillis);
-    if (phase == Phase.LOADING && loader.isExpecting(asked.read())) {
+  public List<ClaimAction> readFailed(ReadPage read, long nowMillis) {
+    segmentTime.observe(nowMillis);
+    if (phase == Phase.LOADING && loader.isExpecting(read.read())) {
       unload();
-      notBeforeMillis = nowMillis + settings.retryMillis();
-    } else if (phase == Phase.REREADING && asked.read() == reread) {
-      reread = 0;
-      notBeforeMillis = nowMillis + settings.retryMillis();
+      earliestStoreCallMillis = nowMillis + settings.retryMillis();
+    } else if (phase == Phase.REREADING && read.read() == pendingReread) {
+      pendingReread = 0;
+      earliestStoreCallMillis = nowMillis + settings.retryMillis();
     }
-    return progress(nowMillis);
+    return advance(nowMillis);
   }
 
   /** Records that the write under way is recorded at a version. */
   public List<ClaimAction> written(String version, long nowMillis) {
-    time.observe(nowMillis);
-    Flight landed = flight.orElseThrow();
-    flight = Optional.empty();
+    segmentTime.observe(nowMillis);
+    InFlightWrite completed = inFlightWrite.orElseThrow();
+    inFlightWrite = Optional.empty();
     phase = Phase.READY;
-    log.orElseThrow().written(landed.slot(), version, landed.page(), time.millis());
-    landed.claims().keySet().forEach(id -> answer(id, Kind.GRANTED));
-    return progress(nowMillis);
+    log.orElseThrow().written(completed.slot(), version, completed.page(), segmentTime.millis());
+    completed.claims().keySet().forEach(id -> deliver(id, Kind.GRANTED));
+    return advance(nowMillis);
   }
 
   /** Records that the write under way changed nothing, and when the platform may be asked again. */
   public List<ClaimAction> writeRefused(long retryAfterMillis, long nowMillis) {
-    time.observe(nowMillis);
-    requeue(flight.orElseThrow());
+    segmentTime.observe(nowMillis);
+    requeue(inFlightWrite.orElseThrow());
     phase = Phase.READY;
-    notBeforeMillis = nowMillis + Math.max(retryAfterMillis, settings.retryMillis());
-    return progress(nowMillis);
+    earliestStoreCallMillis = nowMillis + Math.max(retryAfterMillis, settings.retryMillis());
+    return advance(nowMillis);
   }
 
   /** Records that another write came first. */
   public List<ClaimAction> writeConflicted(long nowMillis) {
-    time.observe(nowMillis);
+    segmentTime.observe(nowMillis);
     phase = Phase.REREADING;
-    reread = 0;
-    return progress(nowMillis);
+    pendingReread = 0;
+    return advance(nowMillis);
   }
 
   /**
@@ -161,63 +162,67 @@
    * same version, and of the two writes only one can succeed.
    */
   public List<ClaimAction> writeUncertain(long nowMillis) {
-    flight.orElseThrow().claims().values().forEach(pending -> pending.perhapsRecorded = true);
+    inFlightWrite
+        .orElseThrow()
+        .claims()
+        .values()
+        .forEach(pending -> pending.possiblyRecorded = true);
     return writeConflicted(nowMillis);
   }
 
   /** Does what time has made due; called every few milliseconds while {@link #isBusy()}. */
   public List<ClaimAction> tick(long nowMillis) {
-    time.observe(nowMillis);
-    answerLate(nowMillis);
-    return progress(nowMillis);
+    segmentTime.observe(nowMillis);
+    deliverExpired(nowMillis);
+    return advance(nowMillis);
   }
 
   /** Whether anything waits or is under way. */
   public boolean isBusy() {
-    return !waiting.isEmpty() || !unsettled.isEmpty() || flight.isPresent();
+    return !waitingClaims.isEmpty() || !waitingSettlements.isEmpty() || inFlightWrite.isPresent();
   }
 
   private boolean isInFlight(ClaimId id) {
-    return flight.filter(under -> under.claims().containsKey(id)).isPresent();
+    return inFlightWrite.filter(write -> write.claims().containsKey(id)).isPresent();
   }
 
-  private List<ClaimAction> progress(long nowMillis) {
-    if (nowMillis >= notBeforeMillis) {
+  private List<ClaimAction> advance(long nowMillis) {
+    if (nowMillis >= earliestStoreCallMillis) {
       if (phase == Phase.UNLOADED && isBusy()) {
         phase = Phase.LOADING;
-        readMore();
-      } else if (phase == Phase.REREADING && reread == 0) {
-        reread = nextRead++;
-        actions.add(new ReadPage(reread, flight.orElseThrow().slot()));
+        startReads();
+      } else if (phase == Phase.REREADING && pendingReread == 0) {
+        pendingReread = nextRead++;
+        actions.add(new ReadPage(pendingReread, inFlightWrite.orElseThrow().slot()));
       }
     }
     if (phase == Phase.READY) {
-      work(nowMillis);
+      writeIfDue(nowMillis);
     }
-    List<ClaimAction> due = actions;
+    List<ClaimAction> result = actions;
     actions = new ArrayList<>();
-    return due;
+    return result;
   }
 
-  private void answerLate(long nowMillis) {
-    for (Iterator<Pending> each = waiting.values().iterator(); each.hasNext(); ) {
-      Pending pending = each.next();
+  private void deliverExpired(long nowMillis) {
+    for (Iterator<Pending> iterator = waitingClaims.values().iterator(); iterator.hasNext(); ) {
+      Pending pending = iterator.next();
       if (nowMillis >= pending.deadlineMillis) {
-        answerUnrecorded(pending);
-        each.remove();
+        deliverUnrecorded(pending);
+        iterator.remove();
       }
     }
-    flight.stream()
-        .flatMap(under -> under.claims().values().stream())
-        .filter(pending -> !pending.answered && nowMillis >= pending.deadlineMillis)
+    inFlightWrite.stream()
+        .flatMap(write -> write.claims().values().stream())
+        .filter(pending -> !pending.resultDelivered && nowMillis >= pending.deadlineMillis)
         .forEach(
             pending -> {
-              pending.answered = true;
-              answer(pending.claim.id(), Kind.UNCERTAIN);
+              pending.resultDelivered = true;
+              deliver(pending.claim.id(), Kind.UNCERTAIN);
             });
   }
 
-  private void readMore() {
+  private void startReads() {
     int before = actions.size();
     loader.read(nextRead, actions);
     nextRead += actions.size() - before;
@@ -225,16 +230,16 @@
 
   private void continueLoading(long nowMillis) {
     if (!loader.isDone()) {
-      readMore();
+      startReads();
       return;
     }
     log = loader.log();
     if (log.isEmpty()) {
       unload();
-      notBeforeMillis = nowMillis + settings.retryMillis();
+      earliestStoreCallMillis = nowMillis + settings.retryMillis();
       return;
     }
-    time.takeOver(log.get().segmentMillis());
+    segmentTime.takeOver(log.get().segmentMillis());
     phase = Phase.READY;
   }
 
@@ -244,16 +249,16 @@
     phase = Phase.UNLOADED;
   }
 
-  private void takeReread(int slot, Optional<VersionedPage> page) {
-    ClaimLog known = log.orElseThrow();
-    Flight failed = flight.orElseThrow();
-    boolean whole = known.reread(slot, page);
+  private void applyReread(int slot, Optional<VersionedPage> page) {
+    ClaimLog currentLog = log.orElseThrow();
+    InFlightWrite failed = inFlightWrite.orElseThrow();
+    boolean consistent = currentLog.reread(slot, page);
     requeue(failed);
-    if (!whole) {
+    if (!consistent) {
       unload();
       return;
     }
-    time.takeOver(known.segmentMillis());
+    segmentTime.takeOver(currentLog.segmentMillis());
     phase = Phase.READY;
   }
 
@@ -261,56 +266,56 @@
    * Puts the claims of a failed write back before the others; those answered already are dropped.
    * Where such a claim was recorded, its claimant is told, so that it frees the key.
    */
-  private void requeue(Flight failed) {
-    flight = Optional.empty();
-    Map<ClaimId, Pending> later = new LinkedHashMap<>(waiting);
-    waiting.clear();
+  private void requeue(InFlightWrite failed) {
+    inFlightWrite = Optional.empty();
+    Map<ClaimId, Pending> remaining = new LinkedHashMap<>(waitingClaims);
+    waitingClaims.clear();
     for (Pending pending : failed.claims().values()) {
-      if (!pending.answered) {
-        waiting.put(pending.claim.id(), pending);
-      } else if (log.flatMap(known -> recorded(known, pending.claim)).isPresent()) {
-        answer(pending.claim.id(), Kind.GRANTED);
+      if (!pending.resultDelivered) {
+        waitingClaims.put(pending.claim.id(), pending);
+      } else if (log.flatMap(currentLog -> recorded(currentLog, pending.claim)).isPresent()) {
+        deliver(pending.claim.id(), Kind.GRANTED);
       }
     }
-    waiting.putAll(later);
-    failed.settlements().forEach(settlement -> unsettled.put(settlement.id(), settlement));
+    waitingClaims.putAll(remaining);
+    failed.settlements().forEach(settlement -> waitingSettlements.put(settlement.id(), settlement));
   }
 
-  private Optional<ClaimEntry> recorded(ClaimLog known, Claim claim) {
-    return known
-        .find(claim.keyHash(), time.millis())
+  private Optional<ClaimEntry> recorded(ClaimLog currentLog, Claim claim) {
+    return currentLog
+        .find(claim.keyHash(), segmentTime.millis())
         .filter(entry -> entry.id().equals(claim.id()) && entry.state() == ClaimState.CLAIMED);
   }
 
-  private void work(long nowMillis) {
-    boolean settlementsDue = !unsettled.isEmpty() && nowMillis >= settleAtMillis;
-    if (nowMillis < notBeforeMillis || (waiting.isEmpty() && !settlementsDue)) {
+  private void writeIfDue(long nowMillis) {
+    boolean settlementsDue = !waitingSettlements.isEmpty() && nowMillis >= settlementsDueMillis;
+    if (nowMillis < earliestStoreCallMillis || (waitingClaims.isEmpty() && !settlementsDue)) {
       return;
     }
-    ClaimLog known = log.orElseThrow();
-    answerKnown(known);
-    if (known.isFull(time.millis())) {
-      waiting.values().forEach(this::answerUnrecorded);
-      waiting.clear();
-      unsettled.clear();
+    ClaimLog currentLog = log.orElseThrow();
+    deliverRecorded(currentLog);
+    if (currentLog.isFull(segmentTime.millis())) {
+      waitingClaims.values().forEach(this::deliverUnrecorded);
+      waitingClaims.clear();
+      waitingSettlements.clear();
       return;
     }
-    write(known, nowMillis);
+    write(currentLog, nowMillis);
   }
 
-  private void answerKnown(ClaimLog known) {
-    for (Iterator<Pending> each = waiting.values().iterator(); each.hasNext(); ) {
-      Claim claim = each.next().claim;
-      Optional<ClaimResult> result = result(known, claim);
+  private void deliverRecorded(ClaimLog currentLog) {
+    for (Iterator<Pending> iterator = waitingClaims.values().iterator(); iterator.hasNext(); ) {
+      Claim claim = iterator.next().claim;
+      Optional<ClaimResult> result = result(currentLog, claim);
       if (result.isPresent()) {
         actions.add(new DeliverResult(claim.id(), result.get()));
-        each.remove();
+        iterator.remove();
       }
     }
   }
 
-  private Optional<ClaimResult> result(ClaimLog known, Claim claim) {
-    Optional<ClaimEntry> found = known.find(claim.keyHash(), time.millis());
+  private Optional<ClaimResult> result(ClaimLog currentLog, Claim claim) {
+    Optional<ClaimEntry> found = currentLog.find(claim.keyHash(), segmentTime.millis());
     if (found.isEmpty()) {
       return Optional.empty();
     }
@@ -329,43 +334,44 @@
     return Optional.of(ClaimResult.ofEntry(entry));
   }
 
-  private void write(ClaimLog known, long nowMillis) {
-    Map<String, ClaimEntry> entries = known.openEntries();
-    Map<ClaimId, Pending> claims = takeClaims(entries);
-    List<Settlement> settlements = takeSettlements(known, entries);
+  private void write(ClaimLog currentLog, long nowMillis) {
+    Map<String, ClaimEntry> entries = currentLog.openEntries();
+    Map<ClaimId, Pending> claims = collectClaims(entries);
+    List<Settlement> settlements = collectSettlements(currentLog, entries);
     if (claims.isEmpty() && settlements.isEmpty()) {
       return;
     }
     ClaimPage page =
         new ClaimPage(
-            known.openOrdinal(),
+            currentLog.openOrdinal(),
             entries.size() >= settings.pageEntries(),
-            time.millis(),
+            segmentTime.millis(),
             List.copyOf(entries.values()));
-    flight = Optional.of(new Flight(known.openSlot(), page, claims, settlements));
+    inFlightWrite =
+        Optional.of(new InFlightWrite(currentLog.openSlot(), page, claims, settlements));
     phase = Phase.WRITING;
-    notBeforeMillis = nowMillis + settings.writeIntervalMillis();
-    settleAtMillis = nowMillis + settings.settleWithinMillis();
-    actions.add(new WritePage(known.openSlot(), known.openVersion(), page));
+    earliestStoreCallMillis = nowMillis + settings.writeIntervalMillis();
+    settlementsDueMillis = nowMillis + settings.settleWithinMillis();
+    actions.add(new WritePage(currentLog.openSlot(), currentLog.openVersion(), page));
   }
 
-  private Map<ClaimId, Pending> takeClaims(Map<String, ClaimEntry> entries) {
-    Map<ClaimId, Pending> taken = new LinkedHashMap<>();
+  private Map<ClaimId, Pending> collectClaims(Map<String, ClaimEntry> entries) {
+    Map<ClaimId, Pending> collected = new LinkedHashMap<>();
     Set<String> keys = new HashSet<>();
-    for (Iterator<Pending> each = waiting.values().iterator(); each.hasNext(); ) {
-      Pending pending = each.next();
+    for (Iterator<Pending> iterator = waitingClaims.values().iterator(); iterator.hasNext(); ) {
+      Pending pending = iterator.next();
       Claim claim = pending.claim;
-      if (taken.size() >= settings.maximumBatch()) {
+      if (collected.size() >= settings.maximumBatch()) {
         break;
       }
       // A second claim of a key waits until the first is recorded, and is then answered by it.
       if (keys.add(claim.keyHash())) {
         entries.put(claim.keyHash(), entry(claim));
-        taken.put(claim.id(), pending);
-        each.remove();
+        collected.put(claim.id(), pending);
+        iterator.remove();
       }
     }
-    return taken;
+    return collected;
   }
 
   private ClaimEntry entry(Claim claim) {
@@ -376,37 +382,39 @@
         ClaimState.CLAIMED,
         0,
         "",
-        time.millis() + settings.retentionMillis());
+        segmentTime.millis() + settings.retentionMillis());
   }
 
-  private List<Settlement> takeSettlements(ClaimLog known, Map<String, ClaimEntry> entries) {
-    List<Settlement> taken = new ArrayList<>();
-    for (Iterator<Settlement> each = unsettled.values().iterator(); each.hasNext(); ) {
-      Settlement settlement = each.next();
-      if (taken.size() >= settings.maximumBatch()) {
+  private List<Settlement> collectSettlements(
+      ClaimLog currentLog, Map<String, ClaimEntry> entries) {
+    List<Settlement> collected = new ArrayList<>();
+    for (Iterator<Settlement> iterator = waitingSettlements.values().iterator();
+        iterator.hasNext(); ) {
+      Settlement settlement = iterator.next();
+      if (collected.size() >= settings.maximumBatch()) {
         break;
       }
       Optional<ClaimEntry> current =
           Optional.ofNullable(entries.get(settlement.keyHash()))
-              .or(() -> known.find(settlement.keyHash(), time.millis()))
+              .or(() -> currentLog.find(settlement.keyHash(), segmentTime.millis()))
               .filter(entry -> entry.id().equals(settlement.id()))
               .filter(entry -> entry.state() == ClaimState.CLAIMED);
       if (current.isPresent()) {
         entries.put(settlement.keyHash(), current.get().settled(settlement.outcome()));
-        taken.add(settlement);
-        each.remove();
-      } else if (!waiting.containsKey(settlement.id())) {
-        each.remove();
+        collected.add(settlement);
+        iterator.remove();
+      } else if (!waitingClaims.containsKey(settlement.id())) {
+        iterator.remove();
       }
     }
-    return taken;
+    return collected;
   }
 
-  private void answerUnrecorded(Pending pending) {
-    answer(pending.claim.id(), pending.perhapsRecorded ? Kind.UNCERTAIN : Kind.STORE_UNAVAILABLE);
+  private void deliverUnrecorded(Pending pending) {
+    deliver(pending.claim.id(), pending.possiblyRecorded ? Kind.UNCERTAIN : Kind.STORE_UNAVAILABLE);
   }
 
-  private void answer(ClaimId claim, Kind kind) {
+  private void deliver(ClaimId claim, Kind kind) {
     actions.add(new DeliverResult(claim, ClaimResult.of(kind)));
   }
 }
