--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimRequests.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimRequests.java
@@ -14,14 +14,14 @@
  */
 public final class ClaimRequests {
 
-  private static final int MAXIMUM_ABANDONED = 10_000;
+  private static final int MAXIMUM_ABANDONED_CLAIMS = 10_000;
   private static final int MAXIMUM_DOUBLINGS = 6;
 
   /** What to do about the claims of this daemon. */
   public sealed interface Step {
 
     /** Ask the daemon that batches the segment, whichever it is now. */
-    record Ask(Claim claim) implements Step {}
+    record SendClaim(Claim claim) implements Step {}
 
     /** Tell the caller of the claim. */
     record Finish(ClaimId claim, ClaimResult result) implements Step {}
@@ -30,11 +30,11 @@
     record Settle(Settlement settlement) implements Step {}
   }
 
-  private record Open(Claim claim, long deadlineMillis, long askAgainMillis, int asked) {}
+  private record OpenClaim(Claim claim, long deadlineMillis, long resendAtMillis, int attempts) {}
 
   private final ClaimSettings settings;
-  private final Map<ClaimId, Open> open = new LinkedHashMap<>();
-  private final Map<ClaimId, Claim> abandoned = new LinkedHashMap<>();
+  private final Map<ClaimId, OpenClaim> openClaims = new LinkedHashMap<>();
+  private final Map<ClaimId, Claim> abandonedClaims = new LinkedHashMap<>();
 
   /** Creates an instance with the paces. */
   public ClaimRequests(ClaimSettings settings) {
@@ -44,26 +44,27 @@
   /** Starts a claim. */
   public List<Step> open(Claim claim, long nowMillis) {
     long deadline = nowMillis + claim.withinMillis();
-    open.put(claim.id(), new Open(claim, deadline, nowMillis + settings.resendMillis(), 1));
-    return List.of(new Step.Ask(claim));
+    openClaims.put(
+        claim.id(), new OpenClaim(claim, deadline, nowMillis + settings.resendMillis(), 1));
+    return List.of(new Step.SendClaim(claim));
   }
 
   /** Handles a result, which may be a copy, late, or of a claim given up. */
   public List<Step> result(ClaimId id, ClaimResult result) {
-    Open known = open.remove(id);
-    if (known == null) {
+    OpenClaim openClaim = openClaims.remove(id);
+    if (openClaim == null) {
       return result.kind() == Kind.GRANTED ? release(id) : List.of();
     }
     if (result.kind() == Kind.GRANTED) {
       return List.of(new Step.Finish(id, result));
     }
-    if (result.kind() == Kind.STORE_UNAVAILABLE && known.asked() > 1) {
+    if (result.kind() == Kind.STORE_UNAVAILABLE && openClaim.attempts() > 1) {
       // An earlier copy of the claim may have reached another daemon that records it.
-      abandon(known.claim());
+      abandon(openClaim.claim());
       return List.of(new Step.Finish(id, ClaimResult.of(Kind.UNCERTAIN)));
     }
     if (result.kind() == Kind.UNCERTAIN) {
-      abandon(known.claim());
+      abandon(openClaim.claim());
     }
     return List.of(new Step.Finish(id, result));
   }
@@ -71,19 +72,27 @@
   /** Asks again, and gives up what is late. */
   public List<Step> tick(long nowMillis) {
     List<Step> steps = new ArrayList<>();
-    for (Open each : List.copyOf(open.values())) {
-      ClaimId id = each.claim().id();
-      if (nowMillis >= each.deadlineMillis()) {
-        open.remove(id);
-        abandon(each.claim());
+    for (OpenClaim openClaim : List.copyOf(openClaims.values())) {
+      ClaimId id = openClaim.claim().id();
+      if (nowMillis >= openClaim.deadlineMillis()) {
+        openClaims.remove(id);
+        abandon(openClaim.claim());
         steps.add(new Step.Finish(id, ClaimResult.of(Kind.UNCERTAIN)));
-      } else if (nowMillis >= each.askAgainMillis()) {
+      } else if (nowMillis >= openClaim.resendAtMillis()) {
         // Each wait is longer than the last: a batching daemon that is slow would otherwise get so
         // many copies of each claim that it falls behind for good.
-        long again =
-            nowMillis + (settings.resendMillis() << Math.min(each.asked(), MAXIMUM_DOUBLINGS));
-        open.put(id, new Open(each.claim(), each.deadlineMillis(), again, each.asked() + 1));
-        steps.add(new Step.Ask(each.claim().within(each.deadlineMillis() - nowMillis)));
+        long resendAtMillis =
+            nowMillis
+                + (settings.resendMillis() << Math.min(openClaim.attempts(), MAXIMUM_DOUBLINGS));
+        openClaims.put(
+            id,
+            new OpenClaim(
+                openClaim.claim(),
+                openClaim.deadlineMillis(),
+                resendAtMillis,
+                openClaim.attempts() + 1));
+        steps.add(
+            new Step.SendClaim(openClaim.claim().within(openClaim.deadlineMillis() - nowMillis)));
       }
     }
     return steps;
@@ -91,7 +100,7 @@
 
   /** Whether any claim waits for its result. */
   public boolean isEmpty() {
-    return open.isEmpty();
+    return openClaims.isEmpty();
   }
 
   /**
@@ -99,7 +108,7 @@
    * a grant that is being used must not free the key, or the request would run twice.
    */
   private List<Step> release(ClaimId id) {
-    return Optional.ofNullable(abandoned.remove(id))
+    return Optional.ofNullable(abandonedClaims.remove(id))
         .map(
             claim ->
                 new Settlement(id, claim.keyHash(), new ClaimOutcome(ClaimState.NOT_RUN, 0, "")))
@@ -108,9 +117,9 @@
   }
 
   private void abandon(Claim claim) {
-    abandoned.put(claim.id(), claim);
-    if (abandoned.size() > MAXIMUM_ABANDONED) {
-      abandoned.remove(abandoned.keySet().iterator().next());
+    abandonedClaims.put(claim.id(), claim);
+    if (abandonedClaims.size() > MAXIMUM_ABANDONED_CLAIMS) {
+      abandonedClaims.remove(abandonedClaims.keySet().iterator().next());
     }
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/claim/ClaimFleet.java
+++ b/core/src/test/java/org/marjoramsail/core/claim/ClaimFleet.java
@@ -244,8 +244,8 @@
 
   private void perform(Daemon daemon, List<ClaimRequests.Step> steps, int owner) {
     for (ClaimRequests.Step step : steps) {
-      if (step instanceof ClaimRequests.Step.Ask ask) {
-        network.add(new Message(owner % DAEMONS, daemon.id, ask.claim()));
+      if (step instanceof ClaimRequests.Step.SendClaim send) {
+        network.add(new Message(owner % DAEMONS, daemon.id, send.claim()));
       } else if (step instanceof ClaimRequests.Step.Settle settle) {
         network.add(new Message(owner % DAEMONS, daemon.id, settle.settlement()));
       } else if (step instanceof ClaimRequests.Step.Finish finish) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/PeerClaimService.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/PeerClaimService.java
@@ -188,7 +188,7 @@
   }
 
   private void perform(Shard shard, Step step) {
-    if (step instanceof Step.Ask ask) {
+    if (step instanceof Step.SendClaim ask) {
       send(owner(shard.segment()), new ClaimMessage(shard.segment(), ask.claim()));
     } else if (step instanceof Step.Settle settle) {
       send(owner(shard.segment()), new SettleMessage(shard.segment(), settle.settlement()));
