--- a/core/src/main/java/org/marjoramsail/core/claim/Claim.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/Claim.java
@@ -10,7 +10,7 @@
  */
 public record Claim(ClaimId id, String keyHash, String bodyHash, long withinMillis) {
 
-  Claim within(long millis) {
+  Claim withRemainingMillis(long millis) {
     return new Claim(id, keyHash, bodyHash, millis);
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimBatcher.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimBatcher.java
@@ -104,7 +104,7 @@
   public List<ClaimAction> pageRead(ReadPage read, Optional<VersionedPage> page, long nowMillis) {
     segmentTime.observe(nowMillis);
     if (phase == Phase.LOADING && loader.isExpecting(read.read())) {
-      loader.take(read.read(), read.slot(), page);
+      loader.accept(read.read(), read.slot(), page);
       continueLoading(nowMillis);
     } else if (phase == Phase.REREADING && read.read() == pendingReread) {
       applyReread(read.slot(), page);
@@ -224,7 +224,7 @@
 
   private void startReads() {
     int before = actions.size();
-    loader.read(nextRead, actions);
+    loader.startReads(nextRead, actions);
     nextRead += actions.size() - before;
   }
 
@@ -239,7 +239,7 @@
       earliestStoreCallMillis = nowMillis + settings.retryMillis();
       return;
     }
-    segmentTime.takeOver(log.get().segmentMillis());
+    segmentTime.advanceTo(log.get().segmentMillis());
     phase = Phase.READY;
   }
 
@@ -258,7 +258,7 @@
       unload();
       return;
     }
-    segmentTime.takeOver(currentLog.segmentMillis());
+    segmentTime.advanceTo(currentLog.segmentMillis());
     phase = Phase.READY;
   }
 
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimLog.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimLog.java
@@ -19,8 +19,8 @@
   private final ClaimSettings settings;
   private final Map<Integer, String> versions = new HashMap<>();
   private final TreeMap<Long, ClaimPage> pages = new TreeMap<>();
-  private final Map<String, ClaimEntry> newest = new HashMap<>();
-  private long nextOrdinal;
+  private final Map<String, ClaimEntry> newestEntries = new HashMap<>();
+  private long openOrdinal;
 
   private ClaimLog(ClaimSettings settings) {
     this.settings = settings;
@@ -33,42 +33,43 @@
     ClaimLog log = new ClaimLog(settings);
     read.forEach((slot, versioned) -> log.versions.put(slot, versioned.version()));
     read.values().forEach(versioned -> log.pages.put(versioned.page().ordinal(), versioned.page()));
-    if (!log.isWhole(read)) {
+    if (!log.isConsistent(read)) {
       return Optional.empty();
     }
     log.pages.values().forEach(log::indexEntries);
-    log.moveOn();
+    log.updateOpenOrdinal();
     return Optional.of(log);
   }
 
-  private boolean isWhole(Map<Integer, VersionedPage> read) {
+  private boolean isConsistent(Map<Integer, VersionedPage> read) {
     if (pages.isEmpty()) {
       return true;
     }
     long first = pages.firstKey();
     long last = pages.lastKey();
-    boolean inPlace =
+    boolean slotsMatch =
         read.entrySet().stream()
-            .allMatch(each -> settings.slotOf(each.getValue().page().ordinal()) == each.getKey());
+            .allMatch(
+                entry -> settings.slotOf(entry.getValue().page().ordinal()) == entry.getKey());
     boolean contiguous = pages.size() == read.size() && last - first + 1 == pages.size();
-    boolean fromStart = first == 0 || pages.size() == settings.slots();
+    boolean startPresent = first == 0 || pages.size() == settings.slots();
     boolean earlierSealed = pages.headMap(last).values().stream().allMatch(ClaimPage::sealed);
-    return inPlace && contiguous && fromStart && earlierSealed;
+    return slotsMatch && contiguous && startPresent && earlierSealed;
   }
 
-  private void moveOn() {
+  private void updateOpenOrdinal() {
     if (!pages.isEmpty()) {
-      nextOrdinal = pages.lastEntry().getValue().sealed() ? pages.lastKey() + 1 : pages.lastKey();
+      openOrdinal = pages.lastEntry().getValue().sealed() ? pages.lastKey() + 1 : pages.lastKey();
     }
   }
 
   /** The ordinal of the page that takes claims; it may not exist yet. */
   long openOrdinal() {
-    return nextOrdinal;
+    return openOrdinal;
   }
 
   int openSlot() {
-    return settings.slotOf(nextOrdinal);
+    return settings.slotOf(openOrdinal);
   }
 
   Optional<String> openVersion() {
@@ -77,7 +78,7 @@
 
   Map<String, ClaimEntry> openEntries() {
     Map<String, ClaimEntry> entries = new LinkedHashMap<>();
-    ClaimPage open = pages.get(nextOrdinal);
+    ClaimPage open = pages.get(openOrdinal);
     if (open != null) {
       open.entries().forEach(entry -> entries.put(entry.keyHash(), entry));
     }
@@ -90,13 +91,13 @@
 
   /** The newest entry of a key, if it is not expired. */
   Optional<ClaimEntry> find(String keyHash, long segmentMillis) {
-    return Optional.ofNullable(newest.get(keyHash))
+    return Optional.ofNullable(newestEntries.get(keyHash))
         .filter(entry -> !entry.isExpired(segmentMillis));
   }
 
   /** Whether the page that must be overwritten next still has claims to remember. */
   boolean isFull(long segmentMillis) {
-    ClaimPage overwritten = pages.get(nextOrdinal - settings.slots());
+    ClaimPage overwritten = pages.get(openOrdinal - settings.slots());
     return overwritten != null && !overwritten.isExpired(segmentMillis);
   }
 
@@ -104,7 +105,7 @@
   void written(int slot, String version, ClaimPage page, long segmentMillis) {
     replace(slot, version, page);
     while (pages.size() > 1 && pages.firstEntry().getValue().isExpired(segmentMillis)) {
-      forget(pages.pollFirstEntry().getValue());
+      removeEntries(pages.pollFirstEntry().getValue());
     }
   }
 
@@ -118,7 +119,7 @@
       return !versions.containsKey(slot);
     }
     ClaimPage page = read.get().page();
-    if (page.ordinal() == nextOrdinal) {
+    if (page.ordinal() == openOrdinal) {
       replace(slot, read.get().version(), page);
       return true;
     }
@@ -128,19 +129,19 @@
   private void replace(int slot, String version, ClaimPage page) {
     ClaimPage overwritten = pages.remove(page.ordinal() - settings.slots());
     if (overwritten != null) {
-      forget(overwritten);
+      removeEntries(overwritten);
     }
     versions.put(slot, version);
     pages.put(page.ordinal(), page);
     indexEntries(page);
-    moveOn();
+    updateOpenOrdinal();
   }
 
   private void indexEntries(ClaimPage page) {
-    page.entries().forEach(entry -> newest.put(entry.keyHash(), entry));
+    page.entries().forEach(entry -> newestEntries.put(entry.keyHash(), entry));
   }
 
-  private void forget(ClaimPage page) {
-    page.entries().forEach(entry -> newest.remove(entry.keyHash(), entry));
+  private void removeEntries(ClaimPage page) {
+    page.entries().forEach(entry -> newestEntries.remove(entry.keyHash(), entry));
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimRequests.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimRequests.java
@@ -92,7 +92,8 @@
                 resendAtMillis,
                 openClaim.attempts() + 1));
         steps.add(
-            new Step.SendClaim(openClaim.claim().within(openClaim.deadlineMillis() - nowMillis)));
+            new Step.SendClaim(
+                openClaim.claim().withRemainingMillis(openClaim.deadlineMillis() - nowMillis)));
       }
     }
     return steps;
--- a/core/src/main/java/org/marjoramsail/core/claim/PageLoader.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/PageLoader.java
@@ -24,7 +24,7 @@
   }
 
   /** Adds the reads that may start now; the identifiers go on from {@code firstRead}. */
-  void read(long firstRead, List<ClaimAction> actions) {
+  void startReads(long firstRead, List<ClaimAction> actions) {
     long read = firstRead;
     while (!endReached && nextSlot < settings.slots() && outstanding.size() < READS_AT_ONCE) {
       actions.add(new ReadPage(read, nextSlot));
@@ -38,9 +38,9 @@
     return outstanding.contains(read);
   }
 
-  void take(long read, int slot, Optional<VersionedPage> page) {
+  void accept(long read, int slot, Optional<VersionedPage> page) {
     outstanding.remove(read);
-    page.ifPresentOrElse(present -> pages.put(slot, present), () -> endReached = true);
+    page.ifPresentOrElse(found -> pages.put(slot, found), () -> endReached = true);
   }
 
   boolean isDone() {
--- a/core/src/main/java/org/marjoramsail/core/claim/SegmentTime.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/SegmentTime.java
@@ -28,7 +28,7 @@
     observedMillis = nowMillis;
   }
 
-  void takeOver(long recordedMillis) {
+  void advanceTo(long recordedMillis) {
     segmentMillis = Math.max(segmentMillis, recordedMillis);
   }
 }
