--- a/core/src/test/java/org/marjoramsail/core/claim/ClaimFleet.java
+++ b/core/src/test/java/org/marjoramsail/core/claim/ClaimFleet.java
@@ -14,14 +14,14 @@
   static final ClaimSettings SETTINGS = new ClaimSettings(1, 4, 2, 3, 50, 20, 200, 50, 300, 30_000);
 
   private static final long CLAIM_WITHIN_MILLIS = 1_500;
-  private static final int DAEMONS = 3;
+  private static final int DAEMON_COUNT = 3;
 
   /** How the network or the store treats what is under way. */
-  enum Fate {
+  enum DeliveryOutcome {
     DELIVERED,
     LOST,
-    COPIED,
-    LATE
+    DUPLICATED,
+    DELAYED
   }
 
   private record PageWrite(int slot, Optional<String> expectedVersion, ClaimPage page) {}
@@ -31,7 +31,7 @@
   private record Call(int daemon, DaemonId caller, ClaimAction action) {}
 
   /** A grant that no proof has undone: who has it, and when it was asked for. */
-  private record Held(ClaimId id, long openedMillis) {}
+  private record ActiveGrant(ClaimId id, long openedMillis) {}
 
   private static final class Daemon {
     private DaemonId id;
@@ -45,10 +45,10 @@
 
   private final List<Daemon> daemons = new ArrayList<>();
   private final Map<Integer, VersionedPage> store = new HashMap<>();
-  private final List<PageWrite> lateWrites = new ArrayList<>();
+  private final List<PageWrite> delayedWrites = new ArrayList<>();
   private final List<Message> network = new ArrayList<>();
   private final List<Call> calls = new ArrayList<>();
-  private final Map<String, Held> held = new HashMap<>();
+  private final Map<String, ActiveGrant> activeGrants = new HashMap<>();
   private final Map<ClaimId, Long> openedMillis = new HashMap<>();
   private final List<String> violations = new ArrayList<>();
   private long nowMillis;
@@ -56,7 +56,7 @@
   private int grants;
 
   ClaimFleet() {
-    for (int daemon = 0; daemon < DAEMONS; daemon++) {
+    for (int daemon = 0; daemon < DAEMON_COUNT; daemon++) {
       daemons.add(new Daemon());
       daemons.get(daemon).clockOffsetMillis = daemon * 1_000_000L;
       restart(daemon);
@@ -76,9 +76,9 @@
   }
 
   void restart(int index) {
-    Daemon daemon = daemons.get(index % DAEMONS);
+    Daemon daemon = daemons.get(index % DAEMON_COUNT);
     long incarnation = daemon.id == null ? 1 : daemon.id.incarnation() + 1;
-    daemon.id = new DaemonId("host-" + index % DAEMONS, incarnation);
+    daemon.id = new DaemonId("host-" + index % DAEMON_COUNT, incarnation);
     daemon.batcher = new ClaimBatcher(SETTINGS, clock(daemon));
     daemon.requests = new ClaimRequests(SETTINGS);
     daemon.open.clear();
@@ -86,27 +86,27 @@
   }
 
   void claim(int index, int key, int body) {
-    Daemon daemon = daemons.get(index % DAEMONS);
+    Daemon daemon = daemons.get(index % DAEMON_COUNT);
     ClaimId id = new ClaimId(daemon.id, daemon.sequence++);
     Claim claim = new Claim(id, "key-" + key, "body-" + body, CLAIM_WITHIN_MILLIS);
     daemon.open.put(id, claim);
     openedMillis.put(id, nowMillis);
-    perform(daemon, daemon.requests.open(claim, clock(daemon)), index);
+    performSteps(daemon, daemon.requests.open(claim, clock(daemon)), index);
   }
 
   /** Ends the request that a daemon has run longest. */
   void settle(int index, ClaimState state, int owner) {
-    Daemon daemon = daemons.get(index % DAEMONS);
+    Daemon daemon = daemons.get(index % DAEMON_COUNT);
     if (daemon.running.isEmpty()) {
       return;
     }
     Claim claim = daemon.running.remove(0);
     if (state == ClaimState.NOT_RUN) {
-      held.remove(claim.keyHash());
+      activeGrants.remove(claim.keyHash());
     }
     Settlement settlement =
         new Settlement(claim.id(), claim.keyHash(), new ClaimOutcome(state, 200, "done"));
-    network.add(new Message(owner % DAEMONS, daemon.id, settlement));
+    network.add(new Message(owner % DAEMON_COUNT, daemon.id, settlement));
   }
 
   /** Moves time for all, and lets one daemon notice. */
@@ -116,27 +116,27 @@
   }
 
   /** A clock that jumps forward on one daemon alone. */
-  void jump(int index, long millis) {
-    daemons.get(index % DAEMONS).clockOffsetMillis += millis;
+  void jumpClock(int index, long millis) {
+    daemons.get(index % DAEMON_COUNT).clockOffsetMillis += millis;
     tick(index, index);
   }
 
   void tick(int index, int owner) {
-    Daemon daemon = daemons.get(index % DAEMONS);
-    perform(daemon, daemon.requests.tick(clock(daemon)), owner);
-    act(index % DAEMONS, daemon.batcher.tick(clock(daemon)));
+    Daemon daemon = daemons.get(index % DAEMON_COUNT);
+    performSteps(daemon, daemon.requests.tick(clock(daemon)), owner);
+    performActions(index % DAEMON_COUNT, daemon.batcher.tick(clock(daemon)));
   }
 
-  void deliver(int which, Fate fate) {
+  void deliver(int which, DeliveryOutcome outcome) {
     if (network.isEmpty()) {
       return;
     }
     int chosen = which % network.size();
     Message message = network.get(chosen);
-    if (fate != Fate.COPIED) {
+    if (outcome != DeliveryOutcome.DUPLICATED) {
       network.remove(chosen);
     }
-    if (fate == Fate.DELIVERED || fate == Fate.COPIED) {
+    if (outcome == DeliveryOutcome.DELIVERED || outcome == DeliveryOutcome.DUPLICATED) {
       receive(message);
     }
   }
@@ -144,60 +144,62 @@
   private void receive(Message message) {
     Daemon daemon = daemons.get(message.to());
     if (message.content() instanceof Claim claim) {
-      act(message.to(), daemon.batcher.claim(claim, clock(daemon)));
+      performActions(message.to(), daemon.batcher.claim(claim, clock(daemon)));
     } else if (message.content() instanceof Settlement settlement) {
-      act(message.to(), daemon.batcher.settle(settlement, clock(daemon)));
-    } else if (message.content() instanceof ClaimAction.DeliverResult answer
-        && answer.claim().daemon().equals(daemon.id)) {
-      perform(daemon, daemon.requests.result(answer.claim(), answer.result()), message.to() + 1);
+      performActions(message.to(), daemon.batcher.settle(settlement, clock(daemon)));
+    } else if (message.content() instanceof ClaimAction.DeliverResult delivery
+        && delivery.claim().daemon().equals(daemon.id)) {
+      performSteps(
+          daemon, daemon.requests.result(delivery.claim(), delivery.result()), message.to() + 1);
     }
   }
 
   /** Lets the store work on a call: LOST loses the answer, LATE lets a write land afterwards. */
-  void serve(int which, Fate fate) {
+  void completeCall(int which, DeliveryOutcome outcome) {
     if (calls.isEmpty()) {
       return;
     }
     Call call = calls.remove(which % calls.size());
     Daemon daemon = daemons.get(call.daemon());
-    boolean alive = daemon.id.equals(call.caller());
+    boolean callerAlive = daemon.id.equals(call.caller());
     if (call.action() instanceof ClaimAction.ReadPage read) {
-      if (alive) {
-        act(call.daemon(), answerRead(daemon, read, fate));
+      if (callerAlive) {
+        performActions(call.daemon(), completeRead(daemon, read, outcome));
       }
     } else if (call.action() instanceof ClaimAction.WritePage write) {
-      List<ClaimAction> actions = serveWrite(daemon, write, fate, alive);
-      act(call.daemon(), actions);
+      List<ClaimAction> actions = completeWrite(daemon, write, outcome, callerAlive);
+      performActions(call.daemon(), actions);
     }
   }
 
-  private List<ClaimAction> answerRead(Daemon daemon, ClaimAction.ReadPage read, Fate fate) {
-    return fate == Fate.DELIVERED || fate == Fate.COPIED
+  private List<ClaimAction> completeRead(
+      Daemon daemon, ClaimAction.ReadPage read, DeliveryOutcome outcome) {
+    return outcome == DeliveryOutcome.DELIVERED || outcome == DeliveryOutcome.DUPLICATED
         ? daemon.batcher.pageRead(read, Optional.ofNullable(store.get(read.slot())), clock(daemon))
         : daemon.batcher.readFailed(read, clock(daemon));
   }
 
-  private List<ClaimAction> serveWrite(
-      Daemon daemon, ClaimAction.WritePage write, Fate fate, boolean alive) {
+  private List<ClaimAction> completeWrite(
+      Daemon daemon, ClaimAction.WritePage write, DeliveryOutcome outcome, boolean callerAlive) {
     PageWrite pageWrite = new PageWrite(write.slot(), write.expectedVersion(), write.page());
-    if (fate == Fate.LATE) {
-      lateWrites.add(pageWrite);
-      return alive ? daemon.batcher.writeUncertain(clock(daemon)) : List.of();
+    if (outcome == DeliveryOutcome.DELAYED) {
+      delayedWrites.add(pageWrite);
+      return callerAlive ? daemon.batcher.writeUncertain(clock(daemon)) : List.of();
     }
     Optional<String> version = apply(pageWrite);
-    if (!alive) {
+    if (!callerAlive) {
       return List.of();
     }
-    if (fate == Fate.LOST) {
+    if (outcome == DeliveryOutcome.LOST) {
       return daemon.batcher.writeUncertain(clock(daemon));
     }
     return version
-        .map(present -> daemon.batcher.written(present, clock(daemon)))
+        .map(written -> daemon.batcher.written(written, clock(daemon)))
         .orElseGet(() -> daemon.batcher.writeConflicted(clock(daemon)));
   }
 
   /** An outage: the call changes nothing, and the caller knows. */
-  void refuse(int which) {
+  void refuseCall(int which) {
     if (calls.isEmpty()) {
       return;
     }
@@ -206,16 +208,16 @@
     if (!daemon.id.equals(call.caller())) {
       return;
     }
-    act(
+    performActions(
         call.daemon(),
         call.action() instanceof ClaimAction.ReadPage read
             ? daemon.batcher.readFailed(read, clock(daemon))
             : daemon.batcher.writeRefused(0, clock(daemon)));
   }
 
-  void landLateWrite(int which) {
-    if (!lateWrites.isEmpty()) {
-      apply(lateWrites.remove(which % lateWrites.size()));
+  void applyDelayedWrite(int which) {
+    if (!delayedWrites.isEmpty()) {
+      apply(delayedWrites.remove(which % delayedWrites.size()));
     }
   }
 
@@ -230,24 +232,24 @@
     return Optional.of(version);
   }
 
-  private void act(int index, List<ClaimAction> actions) {
+  private void performActions(int index, List<ClaimAction> actions) {
     Daemon daemon = daemons.get(index);
     for (ClaimAction action : actions) {
-      if (action instanceof ClaimAction.DeliverResult answer) {
-        int to = Integer.parseInt(answer.claim().daemon().host().substring("host-".length()));
-        network.add(new Message(to, daemon.id, answer));
+      if (action instanceof ClaimAction.DeliverResult delivery) {
+        int to = Integer.parseInt(delivery.claim().daemon().host().substring("host-".length()));
+        network.add(new Message(to, daemon.id, delivery));
       } else {
         calls.add(new Call(index, daemon.id, action));
       }
     }
   }
 
-  private void perform(Daemon daemon, List<ClaimRequests.Step> steps, int owner) {
+  private void performSteps(Daemon daemon, List<ClaimRequests.Step> steps, int owner) {
     for (ClaimRequests.Step step : steps) {
       if (step instanceof ClaimRequests.Step.SendClaim send) {
-        network.add(new Message(owner % DAEMONS, daemon.id, send.claim()));
+        network.add(new Message(owner % DAEMON_COUNT, daemon.id, send.claim()));
       } else if (step instanceof ClaimRequests.Step.Settle settle) {
-        network.add(new Message(owner % DAEMONS, daemon.id, settle.settlement()));
+        network.add(new Message(owner % DAEMON_COUNT, daemon.id, settle.settlement()));
       } else if (step instanceof ClaimRequests.Step.Finish finish) {
         finish(daemon, finish);
       }
@@ -264,11 +266,11 @@
       return;
     }
     grants++;
-    Held before = held.get(claim.keyHash());
-    if (before != null && nowMillis - before.openedMillis() < SETTINGS.retentionMillis()) {
-      violations.add(claim.keyHash() + " was granted to " + before.id() + " and " + claim.id());
+    ActiveGrant earlier = activeGrants.get(claim.keyHash());
+    if (earlier != null && nowMillis - earlier.openedMillis() < SETTINGS.retentionMillis()) {
+      violations.add(claim.keyHash() + " was granted to " + earlier.id() + " and " + claim.id());
     }
-    held.put(claim.keyHash(), new Held(claim.id(), openedMillis.get(claim.id())));
+    activeGrants.put(claim.keyHash(), new ActiveGrant(claim.id(), openedMillis.get(claim.id())));
     daemon.running.add(claim);
   }
 
@@ -277,15 +279,15 @@
   }
 
   /** Ends all faults and lets everything run down. */
-  void heal() {
+  void runWithoutFaults() {
     for (int round = 0; round < 400; round++) {
-      landLateWrite(0);
+      applyDelayedWrite(0);
       while (!network.isEmpty() || !calls.isEmpty()) {
-        deliver(0, Fate.DELIVERED);
-        serve(0, Fate.DELIVERED);
+        deliver(0, DeliveryOutcome.DELIVERED);
+        completeCall(0, DeliveryOutcome.DELIVERED);
       }
       nowMillis += 20;
-      for (int daemon = 0; daemon < DAEMONS; daemon++) {
+      for (int daemon = 0; daemon < DAEMON_COUNT; daemon++) {
         tick(daemon, 0);
       }
     }
--- a/core/src/test/java/org/marjoramsail/core/claim/ClaimFuzzTest.java
+++ b/core/src/test/java/org/marjoramsail/core/claim/ClaimFuzzTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import net.jqwik.api.Tuple;
-import org.marjoramsail.core.claim.ClaimFleet.Fate;
+import org.marjoramsail.core.claim.ClaimFleet.DeliveryOutcome;
 
 final class ClaimFuzzTest {
 
@@ -30,44 +30,46 @@
     SETTLE {
       @Override
       void run(ClaimFleet fleet, Step step) {
-        ClaimState[] ends = {ClaimState.COMPLETED, ClaimState.NOT_RUN, ClaimState.UNKNOWN};
-        fleet.settle(step.first, ends[step.second % ends.length], step.second);
+        ClaimState[] finalStates = {ClaimState.COMPLETED, ClaimState.NOT_RUN, ClaimState.UNKNOWN};
+        fleet.settle(step.first, finalStates[step.second % finalStates.length], step.second);
       }
     },
     DELIVER {
       @Override
       void run(ClaimFleet fleet, Step step) {
-        fleet.deliver(step.first, Fate.DELIVERED);
+        fleet.deliver(step.first, DeliveryOutcome.DELIVERED);
       }
     },
     DISTURB_MESSAGE {
       @Override
       void run(ClaimFleet fleet, Step step) {
-        fleet.deliver(step.first, step.second % 2 == 0 ? Fate.LOST : Fate.COPIED);
+        fleet.deliver(
+            step.first, step.second % 2 == 0 ? DeliveryOutcome.LOST : DeliveryOutcome.DUPLICATED);
       }
     },
-    SERVE {
+    COMPLETE_CALL {
       @Override
       void run(ClaimFleet fleet, Step step) {
-        fleet.serve(step.first, Fate.DELIVERED);
+        fleet.completeCall(step.first, DeliveryOutcome.DELIVERED);
       }
     },
-    LOSE_ANSWER {
+    LOSE_RESPONSE {
       @Override
       void run(ClaimFleet fleet, Step step) {
-        fleet.serve(step.first, step.second % 2 == 0 ? Fate.LOST : Fate.LATE);
+        fleet.completeCall(
+            step.first, step.second % 2 == 0 ? DeliveryOutcome.LOST : DeliveryOutcome.DELAYED);
       }
     },
-    LAND_LATE_WRITE {
+    APPLY_DELAYED_WRITE {
       @Override
       void run(ClaimFleet fleet, Step step) {
-        fleet.landLateWrite(step.first);
+        fleet.applyDelayedWrite(step.first);
       }
     },
-    REFUSE {
+    REFUSE_CALL {
       @Override
       void run(ClaimFleet fleet, Step step) {
-        fleet.refuse(step.first);
+        fleet.refuseCall(step.first);
       }
     },
     ADVANCE {
@@ -82,10 +84,10 @@
         fleet.tick(step.first, step.second);
       }
     },
-    JUMP {
+    JUMP_CLOCK {
       @Override
       void run(ClaimFleet fleet, Step step) {
-        fleet.jump(step.first, 3_600_000);
+        fleet.jumpClock(step.first, 3_600_000);
       }
     },
     RESTART {
@@ -109,25 +111,25 @@
     ClaimFleet fleet = new ClaimFleet();
 
     steps.forEach(step -> step.kind().run(fleet, step));
-    fleet.heal();
+    fleet.runWithoutFaults();
 
     assertThat(fleet.violations()).isEmpty();
     assertThat(fleet.openClaims()).as("claims without a result").isZero();
   }
 
   @Property(seed = "7", tries = 200)
-  void aFreshKeyIsGrantedOnceTheFaultsAreOver(@ForAll("scenarios") List<Step> steps) {
+  void aNewKeyIsGrantedAfterTheFaultsEnd(@ForAll("scenarios") List<Step> steps) {
     ClaimFleet fleet = new ClaimFleet();
     steps.forEach(step -> step.kind().run(fleet, step));
-    fleet.heal();
+    fleet.runWithoutFaults();
     for (int wait = 0; wait < 20; wait++) {
       // Claims of the scenario expire, so that full segments have room again.
-      fleet.heal();
+      fleet.runWithoutFaults();
     }
     int before = fleet.grants();
 
     fleet.claim(0, KEYS + 1, 0);
-    fleet.heal();
+    fleet.runWithoutFaults();
 
     assertThat(fleet.grants()).isEqualTo(before + 1);
   }
@@ -140,13 +142,13 @@
             Tuple.of(6, Kind.SETTLE),
             Tuple.of(30, Kind.DELIVER),
             Tuple.of(4, Kind.DISTURB_MESSAGE),
-            Tuple.of(30, Kind.SERVE),
-            Tuple.of(5, Kind.LOSE_ANSWER),
-            Tuple.of(3, Kind.LAND_LATE_WRITE),
-            Tuple.of(2, Kind.REFUSE),
+            Tuple.of(30, Kind.COMPLETE_CALL),
+            Tuple.of(5, Kind.LOSE_RESPONSE),
+            Tuple.of(3, Kind.APPLY_DELAYED_WRITE),
+            Tuple.of(2, Kind.REFUSE_CALL),
             Tuple.of(8, Kind.ADVANCE),
             Tuple.of(12, Kind.TICK),
-            Tuple.of(1, Kind.JUMP),
+            Tuple.of(1, Kind.JUMP_CLOCK),
             Tuple.of(3, Kind.RESTART));
     Arbitrary<Integer> numbers = Arbitraries.integers().between(0, 99);
     return Combinators.combine(kinds, numbers, numbers).as(Step::new).list().ofSize(250);
--- a/core/src/test/java/org/marjoramsail/core/claim/ClaimLogTest.java
+++ b/core/src/test/java/org/marjoramsail/core/claim/ClaimLogTest.java
@@ -16,11 +16,12 @@
     // A neighbour's ballot is claimed at the end of page 0, which is sealed, and page 1 follows. A
     // daemon that read page 0 before that claim and page 1 after would know the last page and not
     // the claim: its next update would succeed, and the ballot could be granted twice.
-    Map<Integer, VersionedPage> torn = Map.of(0, page(0, false, "a"), 1, page(1, false, "c"));
-    Map<Integer, VersionedPage> whole = Map.of(0, page(0, true, "a"), 1, page(1, false, "c"));
+    Map<Integer, VersionedPage> inconsistent =
+        Map.of(0, page(0, false, "a"), 1, page(1, false, "c"));
+    Map<Integer, VersionedPage> consistent = Map.of(0, page(0, true, "a"), 1, page(1, false, "c"));
 
-    assertThat(ClaimLog.of(SETTINGS, torn)).isEmpty();
-    assertThat(ClaimLog.of(SETTINGS, whole)).isPresent();
+    assertThat(ClaimLog.of(SETTINGS, inconsistent)).isEmpty();
+    assertThat(ClaimLog.of(SETTINGS, consistent)).isPresent();
   }
 
   @Test
@@ -32,15 +33,15 @@
   }
 
   @Test
-  void aRingThatHasWrappedIsWhole() {
-    Map<Integer, VersionedPage> ring =
+  void pagesThatHaveWrappedAroundAreConsistent() {
+    Map<Integer, VersionedPage> wrapped =
         Map.of(
             0, page(4, true, "e"),
             1, page(5, false, "f"),
             2, page(2, true, "c"),
             3, page(3, true, "d"));
 
-    ClaimLog log = ClaimLog.of(SETTINGS, ring).orElseThrow();
+    ClaimLog log = ClaimLog.of(SETTINGS, wrapped).orElseThrow();
 
     assertThat(log.openOrdinal()).isEqualTo(5);
     assertThat(log.find("c", 0)).isPresent();
