--- a/core/src/main/java/org/marjoramsail/core/claim/Claim.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/Claim.java
@@ -1,10 +1,10 @@
 package org.marjoramsail.core.claim;
 
 /**
- * What a daemon wants recorded before it sends a request.
+ * A request of a daemon to record that it is about to send a request with an idempotency key.
  *
- * @param id names this claim
- * @param keyHash hash of its key
+ * @param id identifier of this claim
+ * @param keyHash hash of the idempotency key
  * @param bodyHash fingerprint of the request body
  * @param withinMillis how long the daemon waits for a result, in milliseconds from now
  */
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimAction.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimAction.java
@@ -2,32 +2,35 @@
 
 import java.util.Optional;
 
-/** What a {@link ClaimBatcher} wants done; each read and write is answered by exactly one event. */
+/**
+ * An action that a {@link ClaimBatcher} requests; the caller reports the result of each read and
+ * write to it exactly once.
+ */
 public sealed interface ClaimAction {
 
   /**
-   * Read a page.
+   * Reads a page.
    *
-   * @param read names the read
-   * @param slot which
+   * @param read identifier of the read
+   * @param slot slot of the page
    */
   record ReadPage(long read, int slot) implements ClaimAction {}
 
   /**
-   * Write a page.
+   * Writes a page by a conditional update.
    *
-   * @param slot which
-   * @param expectedVersion the version to replace; to be created where absent
-   * @param page what to write
+   * @param slot slot of the page
+   * @param expectedVersion version to replace; if absent, the page is created
+   * @param page content to write
    */
   record WritePage(int slot, Optional<String> expectedVersion, ClaimPage page)
       implements ClaimAction {}
 
   /**
-   * Tell a claimant.
+   * Sends the result of a claim to the daemon that made the claim.
    *
-   * @param claim its claim
-   * @param result what came of it
+   * @param claim the claim
+   * @param result its result
    */
   record DeliverResult(ClaimId claim, ClaimResult result) implements ClaimAction {}
 }
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimBatcher.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimBatcher.java
@@ -14,11 +14,11 @@
 import org.marjoramsail.core.claim.ClaimResult.Kind;
 
 /**
- * Records the claims of one segment, many to one conditional update.
+ * Batches the claims of one segment and records each batch by one conditional update.
  *
- * <p>Each call takes the time and gives actions; it is called under the segment's lock. Several
- * daemons may have a batcher for the same segment at once: the conditional update keeps them safe,
- * and they only cost each other conflicts.
+ * <p>Each method receives the current time and returns the actions to perform; callers hold the
+ * lock of the segment. Several daemons may have a batcher for the same segment at once: the
+ * conditional update keeps this correct, and the only cost is update conflicts.
  */
 public final class ClaimBatcher {
 
@@ -30,7 +30,7 @@
     REREADING
   }
 
-  /** A claim that waits for its result. */
+  /** A claim whose result is pending. */
   private static final class Pending {
     private final Claim claim;
     private final long deadlineMillis;
@@ -43,7 +43,7 @@
     }
   }
 
-  /** A write under way. */
+  /** A write that was started and has no result yet. */
   private record InFlightWrite(
       int slot, ClaimPage page, Map<ClaimId, Pending> claims, List<Settlement> settlements) {}
 
@@ -61,14 +61,17 @@
   private long settlementsDueMillis = Long.MAX_VALUE;
   private List<ClaimAction> actions = new ArrayList<>();
 
-  /** Creates an instance with the bounds and paces, and the time at which it starts. */
+  /** Creates a batcher that has read no pages yet. */
   public ClaimBatcher(ClaimSettings settings, long nowMillis) {
     this.settings = settings;
     this.loader = new PageLoader(settings);
     this.segmentTime = new SegmentTime(nowMillis);
   }
 
-  /** Handles a claim; the same again changes nothing, or is answered from what is recorded. */
+  /**
+   * Handles a claim. A repeated claim that is still pending changes nothing; one that is recorded
+   * gets the recorded result.
+   */
   public List<ClaimAction> claim(Claim claim, long nowMillis) {
     segmentTime.observe(nowMillis);
     if (!waitingClaims.containsKey(claim.id()) && !isInFlight(claim.id())) {
@@ -89,7 +92,7 @@
     }
   }
 
-  /** Records how a claimed request ended; recorded with a later write. */
+  /** Queues the outcome of a claimed request for a later write. */
   public List<ClaimAction> settle(Settlement settlement, long nowMillis) {
     segmentTime.observe(nowMillis);
     if (waitingSettlements.size() < settings.maximumWaiting()) {
@@ -100,7 +103,7 @@
     return advance(nowMillis);
   }
 
-  /** Handles a page that was asked for, or that there is none. */
+  /** Handles the result of a read; {@code page} is empty if the page does not exist. */
   public List<ClaimAction> pageRead(ReadPage read, Optional<VersionedPage> page, long nowMillis) {
     segmentTime.observe(nowMillis);
     if (phase == Phase.LOADING && loader.isExpecting(read.read())) {
@@ -112,7 +115,7 @@
     return advance(nowMillis);
   }
 
-  /** Records that a page could not be read. */
+  /** Handles a failed read. */
   public List<ClaimAction> readFailed(ReadPage read, long nowMillis) {
     segmentTime.observe(nowMillis);
     if (phase == Phase.LOADING && loader.isExpecting(read.read())) {
@@ -125,7 +128,7 @@
     return advance(nowMillis);
   }
 
-  /** Records that the write under way is recorded at a version. */
+  /** Handles a successful write that created the given version. */
   public List<ClaimAction> written(String version, long nowMillis) {
     segmentTime.observe(nowMillis);
     InFlightWrite completed = inFlightWrite.orElseThrow();
@@ -136,7 +139,11 @@
     return advance(nowMillis);
   }
 
-  /** Records that the write under way changed nothing, and when the platform may be asked again. */
+  /**
+   * Handles a write that the object API refused without a change.
+   *
+   * @param retryAfterMillis how long to wait before the next call, in milliseconds
+   */
   public List<ClaimAction> writeRefused(long retryAfterMillis, long nowMillis) {
     segmentTime.observe(nowMillis);
     requeue(inFlightWrite.orElseThrow());
@@ -145,7 +152,7 @@
     return advance(nowMillis);
   }
 
-  /** Records that another write came first. */
+  /** Handles a write that failed because another daemon changed the page first. */
   public List<ClaimAction> writeConflicted(long nowMillis) {
     segmentTime.observe(nowMillis);
     phase = Phase.REREADING;
@@ -154,12 +161,12 @@
   }
 
   /**
-   * Records that it is not known whether the write under way took effect.
+   * Handles a write whose effect is unknown.
    *
-   * <p>Guards against a ballot that runs twice because its claim was taken for recorded, or for not
-   * recorded, when its answer was lost. The page is read back: if it has the claims, they are
-   * granted. If it has not, the write may still land later; then they are written again over the
-   * same version, and of the two writes only one can succeed.
+   * <p>Guards against a request that runs twice because the response to a write was lost. The page
+   * is read again: if it contains the claims, they are granted. Otherwise the first write may still
+   * take effect later, so the claims are written again over the same version, and only one of the
+   * two writes can succeed.
    */
   public List<ClaimAction> writeUncertain(long nowMillis) {
     inFlightWrite
@@ -170,14 +177,17 @@
     return writeConflicted(nowMillis);
   }
 
-  /** Does what time has made due; called every few milliseconds while {@link #isBusy()}. */
+  /**
+   * Ends expired claims and starts the calls that are due; called every few milliseconds while
+   * {@link #isBusy()}.
+   */
   public List<ClaimAction> tick(long nowMillis) {
     segmentTime.observe(nowMillis);
     deliverExpired(nowMillis);
     return advance(nowMillis);
   }
 
-  /** Whether anything waits or is under way. */
+  /** Returns whether a claim or settlement is queued or a write is in flight. */
   public boolean isBusy() {
     return !waitingClaims.isEmpty() || !waitingSettlements.isEmpty() || inFlightWrite.isPresent();
   }
@@ -263,8 +273,9 @@
   }
 
   /**
-   * Puts the claims of a failed write back before the others; those answered already are dropped.
-   * Where such a claim was recorded, its claimant is told, so that it frees the key.
+   * Puts the claims of a failed write at the front of the queue. Claims that have expired meanwhile
+   * are dropped; if one of them was recorded nevertheless, its claimant gets the grant, so that it
+   * frees the key.
    */
   private void requeue(InFlightWrite failed) {
     inFlightWrite = Optional.empty();
@@ -321,7 +332,8 @@
     }
     ClaimEntry entry = found.get();
     if (entry.id().equals(claim.id())) {
-      // A settled claim that comes again is a late copy: its claimant waits for it no more.
+      // A claim that is already settled is a delayed duplicate; its claimant no longer waits for a
+      // result.
       Kind kind = entry.state() == ClaimState.CLAIMED ? Kind.GRANTED : Kind.UNCERTAIN;
       return Optional.of(ClaimResult.of(kind));
     }
@@ -364,7 +376,7 @@
       if (collected.size() >= settings.maximumBatch()) {
         break;
       }
-      // A second claim of a key waits until the first is recorded, and is then answered by it.
+      // A second claim of a key waits until the first is recorded and then gets its result.
       if (keys.add(claim.keyHash())) {
         entries.put(claim.keyHash(), entry(claim));
         collected.put(claim.id(), pending);
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimEntry.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimEntry.java
@@ -3,13 +3,13 @@
 /**
  * One claim as recorded in a page.
  *
- * @param keyHash hash of its key
+ * @param keyHash hash of the idempotency key
  * @param bodyHash fingerprint of the request body
- * @param id the claim's own identifier
- * @param state what is known of the request
- * @param status the HTTP status of its answer; zero where there was none
- * @param summary a short text for a repeat
- * @param expiryMillis when it is forgotten, in the time of the segment
+ * @param id identifier of the claim
+ * @param state recorded state of the request
+ * @param status HTTP status of the response; zero if there was none
+ * @param summary short text returned to a repeated request
+ * @param expiryMillis when the entry expires, in segment time
  */
 public record ClaimEntry(
     String keyHash,
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimId.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimId.java
@@ -3,9 +3,10 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * Names one claim for ever, so that it is found again when the answer to its write was lost.
+ * Permanent identifier of a claim, by which the claim is found again after the response to its
+ * write was lost.
  *
- * @param daemon the run of the daemon that made it
- * @param sequence rises with each that this run makes
+ * @param daemon the incarnation of the daemon that made the claim
+ * @param sequence number of the claim, increasing within the incarnation
  */
 public record ClaimId(DaemonId daemon, long sequence) {}
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimKey.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimKey.java
@@ -8,18 +8,19 @@
 import java.util.Base64;
 
 /**
- * What may run at most once.
+ * Key under which a request runs at most once.
  *
- * @param organisation whose request it is
- * @param service the service asked for
- * @param idempotencyKey the key that the caller chose
+ * @param organisation the organisation that sends the request
+ * @param service the requested service
+ * @param idempotencyKey the idempotency key that the caller chose
  */
 public record ClaimKey(String organisation, String service, String idempotencyKey) {
 
   private static final int HASH_BYTES = 16;
 
   /**
-   * A collision-resistant hash: callers choose keys, and one must not be able to block another's.
+   * Returns a collision-resistant hash, since callers choose their keys and one caller must not be
+   * able to block the keys of another.
    *
    * @return 22 characters of base64url
    */
@@ -30,7 +31,7 @@
         idempotencyKey.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** The fingerprint of a request body; the same body has the same. */
+  /** Returns the fingerprint of a request body; equal bodies have equal fingerprints. */
   public static String bodyHash(byte[] body) {
     return hash(body);
   }
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimLog.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimLog.java
@@ -9,10 +9,10 @@
 /**
  * The pages of a segment as last read or written, and the newest entry of each key.
  *
- * <p>Only the last page takes claims. It is sealed by the write that fills it, and the next page is
- * made only by a daemon that has seen the seal. So a daemon whose conditional update of the last
- * page succeeds knows all claims of the segment: any page that it does not know would have needed a
- * change of the page that it has just updated.
+ * <p>Only the last page, the open page, accepts claims. The write that fills it also seals it, and
+ * a daemon creates the next page only after it has read the sealed one. So a daemon whose
+ * conditional update of the last page succeeds has all claims of the segment: a further page would
+ * have required a change of the page that was just updated.
  */
 final class ClaimLog {
 
@@ -27,7 +27,8 @@
   }
 
   /**
-   * Joins what was read; empty if the pages changed while they were read and must be read again.
+   * Builds the log from the pages that were read. The result is empty if the pages changed during
+   * the reads and must be read again.
    */
   static Optional<ClaimLog> of(ClaimSettings settings, Map<Integer, VersionedPage> read) {
     ClaimLog log = new ClaimLog(settings);
@@ -63,7 +64,7 @@
     }
   }
 
-  /** The ordinal of the page that takes claims; it may not exist yet. */
+  /** Returns the ordinal of the open page, which may not exist yet. */
   long openOrdinal() {
     return openOrdinal;
   }
@@ -89,19 +90,19 @@
     return pages.isEmpty() ? 0 : pages.lastEntry().getValue().segmentMillis();
   }
 
-  /** The newest entry of a key, if it is not expired. */
+  /** Returns the newest entry of a key if it is not expired. */
   Optional<ClaimEntry> find(String keyHash, long segmentMillis) {
     return Optional.ofNullable(newestEntries.get(keyHash))
         .filter(entry -> !entry.isExpired(segmentMillis));
   }
 
-  /** Whether the page that must be overwritten next still has claims to remember. */
+  /** Returns whether the page to overwrite next still contains claims that are not expired. */
   boolean isFull(long segmentMillis) {
     ClaimPage overwritten = pages.get(openOrdinal - settings.slots());
     return overwritten != null && !overwritten.isExpired(segmentMillis);
   }
 
-  /** Handles a page that was written here. */
+  /** Records a page that this daemon has written and removes expired pages. */
   void written(int slot, String version, ClaimPage page, long segmentMillis) {
     replace(slot, version, page);
     while (pages.size() > 1 && pages.firstEntry().getValue().isExpired(segmentMillis)) {
@@ -110,9 +111,9 @@
   }
 
   /**
-   * Handles the open page as another daemon may have written it.
+   * Records the open page as read again after another daemon may have changed it.
    *
-   * @return whether the log is still whole; if not, all pages must be read again
+   * @return whether the log is still consistent; if not, all pages must be read again
    */
   boolean reread(int slot, Optional<VersionedPage> read) {
     if (read.isEmpty()) {
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimMessage.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimMessage.java
@@ -3,9 +3,9 @@
 import org.marjoramsail.core.message.PeerMessage;
 
 /**
- * Asks the daemon that batches a segment to record a claim; may be repeated.
+ * Requests the daemon that batches a segment to record a claim; may be sent repeatedly.
  *
- * @param segment the segment of its key
- * @param claim what to record
+ * @param segment the segment of the key
+ * @param claim the claim to record
  */
 public record ClaimMessage(int segment, Claim claim) implements PeerMessage {}
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimOutcome.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimOutcome.java
@@ -1,21 +1,23 @@
 package org.marjoramsail.core.claim;
 
 /**
- * How a claimed request ended.
+ * Outcome of a claimed request.
  *
- * @param state the end; never {@code CLAIMED}
- * @param status the HTTP status of its answer; zero where there was none
- * @param summary a short text for a repeat, cut to {@value #MAXIMUM_SUMMARY} characters
+ * @param state the final state; never {@code CLAIMED}
+ * @param status HTTP status of the response; zero if there was none
+ * @param summary short text returned to a repeated request, truncated to {@value #MAXIMUM_SUMMARY}
+ *     characters
  */
 public record ClaimOutcome(ClaimState state, int status, String summary) {
 
-  /** How long a summary can be, in characters; bounds the size of a page. */
+  /** Maximum length of a summary in characters, which bounds the size of a page. */
   public static final int MAXIMUM_SUMMARY = 128;
 
-  /** Cuts the summary and refuses a state that is no end. */
+  /** Truncates the summary and rejects a state that is not final. */
   public ClaimOutcome {
     if (state == ClaimState.CLAIMED) {
-      throw new IllegalArgumentException("CLAIMED is no outcome; allowed are the other states.");
+      throw new IllegalArgumentException(
+          "CLAIMED is not a final state; all other states are allowed.");
     }
     summary = summary.substring(0, Math.min(summary.length(), MAXIMUM_SUMMARY));
   }
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimPage.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimPage.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * Some claims of a segment: the unit that one conditional update writes.
+ * A page of the claims of a segment; one conditional update writes one page.
  *
- * @param ordinal from zero; a segment's pages follow each other without a gap
- * @param sealed whether it takes no more claims; the page of the next ordinal does
- * @param segmentMillis the time of the segment when it was written
- * @param entries its claims; a later entry of a key, also in a later page, replaces an earlier one
+ * @param ordinal number of the page from zero; the pages of a segment are numbered without gaps
+ * @param sealed whether the page accepts no more claims, so that new ones go to the next page
+ * @param segmentMillis segment time at which the page was written
+ * @param entries the claims; a later entry of a key, also in a later page, replaces an earlier one
  */
 public record ClaimPage(
     long ordinal, boolean sealed, long segmentMillis, List<ClaimEntry> entries) {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the list, so that the record is immutable. */
   public ClaimPage {
     entries = List.copyOf(entries);
   }
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimRequests.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimRequests.java
@@ -8,25 +8,25 @@
 import org.marjoramsail.core.claim.ClaimResult.Kind;
 
 /**
- * The claims that one daemon has asked for and not yet heard of.
+ * Tracks the claims that one daemon has sent and that have no result yet.
  *
- * <p>Each claim gets exactly one result. Not safe for several threads.
+ * <p>Each claim gets exactly one result. Not thread-safe.
  */
 public final class ClaimRequests {
 
   private static final int MAXIMUM_ABANDONED_CLAIMS = 10_000;
   private static final int MAXIMUM_DOUBLINGS = 6;
 
-  /** What to do about the claims of this daemon. */
+  /** A step that the daemon has to perform for its claims. */
   public sealed interface Step {
 
-    /** Ask the daemon that batches the segment, whichever it is now. */
+    /** Sends the claim to the daemon that batches the segment at present. */
     record SendClaim(Claim claim) implements Step {}
 
-    /** Tell the caller of the claim. */
+    /** Delivers the result to the caller that opened the claim. */
     record Finish(ClaimId claim, ClaimResult result) implements Step {}
 
-    /** Tell the daemon that batches the segment how the claim ended. */
+    /** Sends the outcome of the claimed request to the daemon that batches the segment. */
     record Settle(Settlement settlement) implements Step {}
   }
 
@@ -36,7 +36,7 @@
   private final Map<ClaimId, OpenClaim> openClaims = new LinkedHashMap<>();
   private final Map<ClaimId, Claim> abandonedClaims = new LinkedHashMap<>();
 
-  /** Creates an instance with the paces. */
+  /** Creates an instance without claims. */
   public ClaimRequests(ClaimSettings settings) {
     this.settings = settings;
   }
@@ -49,7 +49,7 @@
     return List.of(new Step.SendClaim(claim));
   }
 
-  /** Handles a result, which may be a copy, late, or of a claim given up. */
+  /** Handles a result, which may be a duplicate, delayed, or of an abandoned claim. */
   public List<Step> result(ClaimId id, ClaimResult result) {
     OpenClaim openClaim = openClaims.remove(id);
     if (openClaim == null) {
@@ -59,7 +59,7 @@
       return List.of(new Step.Finish(id, result));
     }
     if (result.kind() == Kind.STORE_UNAVAILABLE && openClaim.attempts() > 1) {
-      // An earlier copy of the claim may have reached another daemon that records it.
+      // An earlier attempt may have reached another daemon that records the claim.
       abandon(openClaim.claim());
       return List.of(new Step.Finish(id, ClaimResult.of(Kind.UNCERTAIN)));
     }
@@ -69,7 +69,7 @@
     return List.of(new Step.Finish(id, result));
   }
 
-  /** Asks again, and gives up what is late. */
+  /** Resends the claims that are due and abandons those past their deadline. */
   public List<Step> tick(long nowMillis) {
     List<Step> steps = new ArrayList<>();
     for (OpenClaim openClaim : List.copyOf(openClaims.values())) {
@@ -79,8 +79,8 @@
         abandon(openClaim.claim());
         steps.add(new Step.Finish(id, ClaimResult.of(Kind.UNCERTAIN)));
       } else if (nowMillis >= openClaim.resendAtMillis()) {
-        // Each wait is longer than the last: a batching daemon that is slow would otherwise get so
-        // many copies of each claim that it falls behind for good.
+        // Exponential backoff: an overloaded batching daemon would otherwise receive so many copies
+        // of each claim that it never recovers.
         long resendAtMillis =
             nowMillis
                 + (settings.resendMillis() << Math.min(openClaim.attempts(), MAXIMUM_DOUBLINGS));
@@ -99,14 +99,14 @@
     return steps;
   }
 
-  /** Whether any claim waits for its result. */
+  /** Returns whether no claim waits for a result. */
   public boolean isEmpty() {
     return openClaims.isEmpty();
   }
 
   /**
-   * Frees the key of a claim that was given up and then granted. Only such claims: a second copy of
-   * a grant that is being used must not free the key, or the request would run twice.
+   * Frees the key of a claim that was granted after it was abandoned. A duplicate grant of a claim
+   * in use must not free the key, or the request could run twice.
    */
   private List<Step> release(ClaimId id) {
     return Optional.ofNullable(abandonedClaims.remove(id))
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimResult.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimResult.java
@@ -4,38 +4,38 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * What a claim led to.
+ * Result of a claim.
  *
- * @param kind what the claimant may do
- * @param outcome how the request ended before; only with {@code COMPLETED_BEFORE}
- * @param holder the daemon that may be running it; only with {@code RUNNING_ELSEWHERE}
+ * @param kind kind of the result, which decides whether the request may run
+ * @param outcome outcome of the earlier request; only with {@code COMPLETED_BEFORE}
+ * @param holder the daemon that may be running the request; only with {@code RUNNING_ELSEWHERE}
  */
 public record ClaimResult(Kind kind, Optional<ClaimOutcome> outcome, Optional<DaemonId> holder) {
 
-  /** What the claimant may do. */
+  /** Kinds of results. */
   public enum Kind {
     /** The claim is recorded: this daemon alone may run the request. */
     GRANTED,
-    /** The request ran and was answered. */
+    /** The request ran earlier and its caller got a response. */
     COMPLETED_BEFORE,
-    /** Another claim of the key is recorded and not settled. */
+    /** Another claim of the key is recorded and has no outcome yet. */
     RUNNING_ELSEWHERE,
-    /** The request may have run. */
+    /** The request may have run earlier. */
     UNKNOWN_BEFORE,
-    /** The key was used with another body. */
+    /** The key was used with a different body. */
     CONFLICTING_BODY,
     /** Nothing was recorded; the request must not run. */
     STORE_UNAVAILABLE,
-    /** It could not be settled in time whether the claim is recorded; the request must not run. */
+    /** It was unknown at the deadline whether the claim is recorded; the request must not run. */
     UNCERTAIN
   }
 
-  /** A result that needs no more words. */
+  /** Returns a result without an outcome and a holder. */
   public static ClaimResult of(Kind kind) {
     return new ClaimResult(kind, Optional.empty(), Optional.empty());
   }
 
-  /** What a recorded entry of the key means for a claim of another identifier. */
+  /** Returns the result of a claim whose key was recorded for a claim of another identifier. */
   static ClaimResult ofEntry(ClaimEntry entry) {
     return switch (entry.state()) {
       case CLAIMED ->
@@ -47,7 +47,9 @@
               Optional.of(new ClaimOutcome(entry.state(), entry.status(), entry.summary())),
               Optional.empty());
       case UNKNOWN -> of(Kind.UNKNOWN_BEFORE);
-      case NOT_RUN -> throw new IllegalArgumentException("A key that was not run is free.");
+      case NOT_RUN ->
+          throw new IllegalArgumentException(
+              "NOT_RUN leaves the key free, so it is no result of another claim.");
     };
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimResultMessage.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimResultMessage.java
@@ -3,9 +3,9 @@
 import org.marjoramsail.core.message.PeerMessage;
 
 /**
- * Tells a claimant what came of its claim.
+ * Sends the result of a claim to the daemon that made it.
  *
  * @param claim the claim
- * @param result what came of it
+ * @param result its result
  */
 public record ClaimResultMessage(ClaimId claim, ClaimResult result) implements PeerMessage {}
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimSettings.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimSettings.java
@@ -1,18 +1,19 @@
 package org.marjoramsail.core.claim;
 
 /**
- * Bounds and paces of claims; the same on all daemons.
+ * Limits and intervals of claims, which must be equal on all daemons.
  *
- * @param segments how many segments the keys are spread over; a change needs an empty store
- * @param slots how many pages a segment has at most
- * @param pageEntries a page with so many entries is sealed
- * @param maximumBatch how many claims, and how many outcomes, go into one write at most
- * @param maximumWaiting how many claims, and how many outcomes, wait in a segment at most
- * @param writeIntervalMillis least time between the starts of two writes of a segment
- * @param settleWithinMillis how long an outcome waits for a claim to ride along with
- * @param retryMillis how long to wait after a failed call
- * @param resendMillis how long a claimant waits before it asks again; doubled each time
- * @param retentionMillis how long a claim is remembered at least
+ * @param segments number of segments that the keys are distributed over; a change requires an empty
+ *     store
+ * @param slots maximum number of pages of a segment
+ * @param pageEntries number of entries at which a page is sealed
+ * @param maximumBatch maximum number of claims, and of outcomes, in one write
+ * @param maximumWaiting maximum number of claims, and of outcomes, queued in a segment
+ * @param writeIntervalMillis minimum time between the starts of two writes of a segment
+ * @param settleWithinMillis how long an outcome waits to be written together with a claim
+ * @param retryMillis how long to wait after a failed call of the object API
+ * @param resendMillis how long a claimant waits before it sends a claim again; doubled each time
+ * @param retentionMillis minimum time for which a claim is kept
  */
 public record ClaimSettings(
     int segments,
@@ -26,12 +27,15 @@
     long resendMillis,
     long retentionMillis) {
 
-  /** At most 200 writes a second: 8 segments, each every 40 ms at most; five minutes kept. */
+  /**
+   * Returns the default settings: 8 segments with a write each 40 ms at most, which is 200 writes a
+   * second, and a retention of five minutes.
+   */
   public static ClaimSettings defaults() {
     return new ClaimSettings(8, 1_024, 256, 1_000, 5_000, 40, 1_000, 100, 250, 300_000);
   }
 
-  /** The segment of a key. */
+  /** Returns the segment of a key. */
   public int segmentOf(String keyHash) {
     return Math.floorMod(keyHash.hashCode(), segments);
   }
--- a/core/src/main/java/org/marjoramsail/core/claim/ClaimState.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/ClaimState.java
@@ -1,13 +1,13 @@
 package org.marjoramsail.core.claim;
 
-/** What is recorded of a claimed request. */
+/** Recorded state of a claimed request. */
 public enum ClaimState {
-  /** It may be running. */
+  /** The request may be running. */
   CLAIMED,
-  /** It ran, and its caller got an answer. */
+  /** The request ran and its caller got a response. */
   COMPLETED,
-  /** It is proven that it did not run; the key can be claimed again. */
+  /** The request certainly did not run; the key can be claimed again. */
   NOT_RUN,
-  /** It may have run. */
+  /** The request may have run. */
   UNKNOWN
 }
--- a/core/src/main/java/org/marjoramsail/core/claim/PageLoader.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/PageLoader.java
@@ -8,7 +8,10 @@
 import java.util.Set;
 import org.marjoramsail.core.claim.ClaimAction.ReadPage;
 
-/** Reads all pages of a segment, some at a time, up to the first slot that was never used. */
+/**
+ * Reads the pages of a segment, a limited number at a time, up to the first slot that was never
+ * used.
+ */
 final class PageLoader {
 
   private static final int READS_AT_ONCE = 8;
@@ -23,7 +26,7 @@
     this.settings = settings;
   }
 
-  /** Adds the reads that may start now; the identifiers go on from {@code firstRead}. */
+  /** Adds the reads that may start now, with consecutive identifiers from {@code firstRead}. */
   void startReads(long firstRead, List<ClaimAction> actions) {
     long read = firstRead;
     while (!endReached && nextSlot < settings.slots() && outstanding.size() < READS_AT_ONCE) {
--- a/core/src/main/java/org/marjoramsail/core/claim/SegmentTime.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/SegmentTime.java
@@ -1,11 +1,12 @@
 package org.marjoramsail.core.claim;
 
 /**
- * A time that belongs to a segment and goes on from daemon to daemon in its pages.
+ * Logical time of a segment, which its pages carry from one daemon to the next.
  *
- * <p>Clocks of two daemons cannot be compared, and one may jump. A claim that is forgotten too
- * early would let a ballot run twice; so this time only counts what a daemon saw pass, in bounded
- * steps, and is never ahead of what has really passed. At worst claims are kept too long.
+ * <p>Clocks of different daemons are not comparable and may jump, and a claim that expires too
+ * early would let a request run twice. So this time adds up only the time that a daemon has
+ * observed, in bounded steps, and never runs ahead of real time. At worst, claims are kept too
+ * long.
  */
 final class SegmentTime {
 
--- a/core/src/main/java/org/marjoramsail/core/claim/SettleMessage.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/SettleMessage.java
@@ -3,10 +3,10 @@
 import org.marjoramsail.core.message.PeerMessage;
 
 /**
- * Tells the daemon that batches a segment how a claimed request ended; one that is lost leaves the
- * claim as it is, so that a repeat is never run.
+ * Sends the outcome of a claimed request to the daemon that batches the segment. If the message is
+ * lost, the claim stays unsettled and repeated requests do not run.
  *
- * @param segment the segment of its key
- * @param settlement how it ended
+ * @param segment the segment of the key
+ * @param settlement the claim and its outcome
  */
 public record SettleMessage(int segment, Settlement settlement) implements PeerMessage {}
--- a/core/src/main/java/org/marjoramsail/core/claim/Settlement.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/Settlement.java
@@ -1,10 +1,10 @@
 package org.marjoramsail.core.claim;
 
 /**
- * How the request of a claim ended.
+ * Outcome of a claimed request, together with its claim.
  *
- * @param id the claim
- * @param keyHash hash of its key
- * @param outcome how it ended
+ * @param id identifier of the claim
+ * @param keyHash hash of the idempotency key
+ * @param outcome outcome of the request
  */
 public record Settlement(ClaimId id, String keyHash, ClaimOutcome outcome) {}
--- a/core/src/main/java/org/marjoramsail/core/claim/VersionedPage.java
+++ b/core/src/main/java/org/marjoramsail/core/claim/VersionedPage.java
@@ -1,9 +1,9 @@
 package org.marjoramsail.core.claim;
 
 /**
- * A page as the object API holds it.
+ * A page as stored in the object API.
  *
- * @param version the version that a conditional update names
- * @param page its content
+ * @param version version of the object, which a conditional update has to state
+ * @param page content of the page
  */
 public record VersionedPage(String version, ClaimPage page) {}
--- a/core/src/test/java/org/marjoramsail/core/claim/ClaimFleet.java
+++ b/core/src/test/java/org/marjoramsail/core/claim/ClaimFleet.java
@@ -8,7 +8,10 @@
 import org.marjoramsail.core.claim.ClaimResult.Kind;
 import org.marjoramsail.core.model.DaemonId;
 
-/** Several daemons, a store and a network, all driven step by step; the oracle watches grants. */
+/**
+ * Simulation of several daemons, a store and a network, driven step by step, which records each
+ * violation of the rule that a key is granted at most once.
+ */
 final class ClaimFleet {
 
   static final ClaimSettings SETTINGS = new ClaimSettings(1, 4, 2, 3, 50, 20, 200, 50, 300, 30_000);
@@ -16,7 +19,7 @@
   private static final long CLAIM_WITHIN_MILLIS = 1_500;
   private static final int DAEMON_COUNT = 3;
 
-  /** How the network or the store treats what is under way. */
+  /** What happens to a message or to a call of the store. */
   enum DeliveryOutcome {
     DELIVERED,
     LOST,
@@ -30,7 +33,7 @@
 
   private record Call(int daemon, DaemonId caller, ClaimAction action) {}
 
-  /** A grant that no proof has undone: who has it, and when it was asked for. */
+  /** A grant that no NOT_RUN outcome has undone, with the time at which its claim was opened. */
   private record ActiveGrant(ClaimId id, long openedMillis) {}
 
   private static final class Daemon {
@@ -94,7 +97,7 @@
     performSteps(daemon, daemon.requests.open(claim, clock(daemon)), index);
   }
 
-  /** Ends the request that a daemon has run longest. */
+  /** Settles the request that a daemon has been running for the longest time. */
   void settle(int index, ClaimState state, int owner) {
     Daemon daemon = daemons.get(index % DAEMON_COUNT);
     if (daemon.running.isEmpty()) {
@@ -109,13 +112,13 @@
     network.add(new Message(owner % DAEMON_COUNT, daemon.id, settlement));
   }
 
-  /** Moves time for all, and lets one daemon notice. */
+  /** Advances the time of all daemons and calls the timer of one. */
   void advance(long millis, int index) {
     nowMillis += millis;
     tick(index, index);
   }
 
-  /** A clock that jumps forward on one daemon alone. */
+  /** Lets the clock of one daemon jump forward. */
   void jumpClock(int index, long millis) {
     daemons.get(index % DAEMON_COUNT).clockOffsetMillis += millis;
     tick(index, index);
@@ -154,7 +157,7 @@
     }
   }
 
-  /** Lets the store work on a call: LOST loses the answer, LATE lets a write land afterwards. */
+  /** Completes a store call: LOST loses the response, DELAYED applies a write later. */
   void completeCall(int which, DeliveryOutcome outcome) {
     if (calls.isEmpty()) {
       return;
@@ -198,7 +201,7 @@
         .orElseGet(() -> daemon.batcher.writeConflicted(clock(daemon)));
   }
 
-  /** An outage: the call changes nothing, and the caller knows. */
+  /** Fails a call without a change, as in an outage, and reports that to its caller. */
   void refuseCall(int which) {
     if (calls.isEmpty()) {
       return;
@@ -278,7 +281,7 @@
     return nowMillis + daemon.clockOffsetMillis;
   }
 
-  /** Ends all faults and lets everything run down. */
+  /** Delivers all messages and calls without faults until the daemons are idle. */
   void runWithoutFaults() {
     for (int round = 0; round < 400; round++) {
       applyDelayedWrite(0);
--- a/core/src/test/java/org/marjoramsail/core/claim/ClaimFuzzTest.java
+++ b/core/src/test/java/org/marjoramsail/core/claim/ClaimFuzzTest.java
@@ -16,10 +16,10 @@
 
   private static final int KEYS = 16;
 
-  /** One step of a scenario; what its numbers mean depends on the kind. */
+  /** One step of a scenario; the meaning of its numbers depends on the kind. */
   record Step(Kind kind, int first, int second) {}
 
-  /** What can happen. */
+  /** Kinds of steps. */
   enum Kind {
     CLAIM {
       @Override
@@ -101,10 +101,8 @@
   }
 
   /**
-   * A neighbour's ballot is sent twice, to two daemons, while answers of the store are lost, writes
-   * land late, messages are lost, copied and reordered, daemons restart and clocks jump. Whatever
-   * the order, at most one of the two may run. The cause guarded against: a claim taken for
-   * recorded, or for not recorded, without proof.
+   * Guards against a request that runs twice because a claim was assumed to be recorded, or not to
+   * be recorded, although the response of the store, a message or a daemon was lost.
    */
   @Property(seed = "20261202", tries = 2_000)
   void aKeyIsGrantedAtMostOnceUntilItExpires(@ForAll("scenarios") List<Step> steps) {
@@ -123,7 +121,7 @@
     steps.forEach(step -> step.kind().run(fleet, step));
     fleet.runWithoutFaults();
     for (int wait = 0; wait < 20; wait++) {
-      // Claims of the scenario expire, so that full segments have room again.
+      // The claims of the scenario expire, so that full segments accept claims again.
       fleet.runWithoutFaults();
     }
     int before = fleet.grants();
--- a/core/src/test/java/org/marjoramsail/core/claim/ClaimLogTest.java
+++ b/core/src/test/java/org/marjoramsail/core/claim/ClaimLogTest.java
@@ -13,9 +13,8 @@
 
   @Test
   void pagesReadWhileAnotherDaemonWroteAreReadAgain() {
-    // A neighbour's ballot is claimed at the end of page 0, which is sealed, and page 1 follows. A
-    // daemon that read page 0 before that claim and page 1 after would know the last page and not
-    // the claim: its next update would succeed, and the ballot could be granted twice.
+    // Guards against a key that is granted twice: a daemon that reads page 0 before its last claim
+    // and page 1 after it would miss that claim, and its update of page 1 would succeed.
     Map<Integer, VersionedPage> inconsistent =
         Map.of(0, page(0, false, "a"), 1, page(1, false, "c"));
     Map<Integer, VersionedPage> consistent = Map.of(0, page(0, true, "a"), 1, page(1, false, "c"));
