--- a/core/src/main/java/org/marjoramsail/core/order/OrderNames.java
+++ b/core/src/main/java/org/marjoramsail/core/order/OrderNames.java
@@ -15,13 +15,13 @@
   private static final String PREFIX = "rollout.";
   private static final String NUMBER_MARK = "#";
 
-  private final ServicePicture picture;
+  private final ServiceSnapshot snapshot;
   private final long tries;
 
-  OrderNames(ServicePicture picture) {
-    this.picture = picture;
+  OrderNames(ServiceSnapshot snapshot) {
+    this.snapshot = snapshot;
     this.tries =
-        picture.operatorOrders().values().stream()
+        snapshot.operatorOrders().values().stream()
             .filter(OperatorOrder.Resume.class::isInstance)
             .count();
   }
@@ -54,7 +54,7 @@
    */
   private String number(UpstreamDefinition upstream) {
     long highest =
-        Optional.ofNullable(picture.states().get(upstream.name())).stream()
+        Optional.ofNullable(snapshot.states().get(upstream.name())).stream()
             .flatMap(state -> state.orders().stream())
             .map(OrderProgress::order)
             .filter(OrderNames::isOfRollout)
@@ -78,8 +78,8 @@
         plain.order(),
         plain.upstream(),
         plain.kind(),
-        Optional.of(picture.model().name()),
-        Optional.of(picture.model().version()),
+        Optional.of(snapshot.model().name()),
+        Optional.of(snapshot.model().version()),
         Optional.empty(),
         Optional.empty());
   }
@@ -90,7 +90,7 @@
         stem(upstream) + plain.kind().code() + "." + adapter + number(upstream),
         plain.upstream(),
         plain.kind(),
-        Optional.of(picture.model().name()),
+        Optional.of(snapshot.model().name()),
         Optional.empty(),
         Optional.of(adapter),
         Optional.empty());
@@ -109,7 +109,7 @@
   }
 
   private String stem(UpstreamDefinition upstream) {
-    String wish = picture.model() + " " + upstream.role();
+    String wish = snapshot.model() + " " + upstream.role();
     long hash = Hashing.xxh3_64().hashCharsToLong(wish);
     return PREFIX + Long.toHexString(hash) + "." + tries + ".";
   }
--- a/core/src/main/java/org/marjoramsail/core/order/OrderPlanner.java
+++ b/core/src/main/java/org/marjoramsail/core/order/OrderPlanner.java
@@ -22,37 +22,37 @@
 
   private static final int LARGEST_SHARE_OUT = 4;
 
-  private final ServicePicture picture;
+  private final ServiceSnapshot snapshot;
   private final OrderNames names;
   private final List<EngineOrder> orders = new ArrayList<>();
   private final List<UpstreamStatus> statuses = new ArrayList<>();
   private final List<String> finished = new ArrayList<>();
   private int freeWeightLoads;
 
-  private OrderPlanner(ServicePicture picture) {
-    this.picture = picture;
-    this.names = new OrderNames(picture);
-    this.freeWeightLoads = picture.freeWeightLoads();
+  private OrderPlanner(ServiceSnapshot snapshot) {
+    this.snapshot = snapshot;
+    this.names = new OrderNames(snapshot);
+    this.freeWeightLoads = snapshot.freeWeightLoads();
   }
 
   /** Plans the next orders. */
-  public static OrderPlan plan(ServicePicture picture) {
-    return new OrderPlanner(picture).plan();
+  public static OrderPlan plan(ServiceSnapshot snapshot) {
+    return new OrderPlanner(snapshot).plan();
   }
 
   private OrderPlan plan() {
-    boolean paused = picture.upstreams().stream().anyMatch(it -> failure(it).isPresent());
-    for (UpstreamDefinition upstream : picture.upstreams()) {
+    boolean paused = snapshot.upstreams().stream().anyMatch(it -> failure(it).isPresent());
+    for (UpstreamDefinition upstream : snapshot.upstreams()) {
       planUpstream(upstream, paused);
     }
-    picture.operatorOrders().entrySet().stream()
+    snapshot.operatorOrders().entrySet().stream()
         .sorted(Map.Entry.comparingByKey())
         .forEach(entry -> planOperatorOrder(entry.getKey(), entry.getValue()));
     Phase phase = phase(paused);
     if (phase == Phase.DONE) {
       finishResumes();
     }
-    return new OrderPlan(orders, new OrderStatus(picture.service(), phase, statuses), finished);
+    return new OrderPlan(orders, new OrderStatus(snapshot.service(), phase, statuses), finished);
   }
 
   private void planUpstream(UpstreamDefinition upstream, boolean paused) {
@@ -62,7 +62,7 @@
       return;
     }
     EngineState state = known.get();
-    if (picture.underWay().contains(upstream.name())) {
+    if (snapshot.inFlight().contains(upstream.name())) {
       note(upstream, Step.ORDERED, "");
       return;
     }
@@ -150,12 +150,12 @@
       return Optional.of(names.changeRole(upstream));
     }
     boolean loaded =
-        state.model().equals(picture.model().name())
-            && state.version().equals(picture.model().version());
+        state.model().equals(snapshot.model().name())
+            && state.version().equals(snapshot.model().version());
     if (!loaded) {
       return Optional.of(names.loadModel(upstream));
     }
-    return picture.model().adapters().stream()
+    return snapshot.model().adapters().stream()
         .filter(adapter -> !state.adapters().contains(adapter))
         .findFirst()
         .map(adapter -> names.loadAdapter(upstream, adapter));
@@ -200,7 +200,7 @@
 
   /** How many engines have a role, or how many of them take new work. */
   private long count(UpstreamRole role, boolean servingOnly) {
-    return picture.upstreams().stream()
+    return snapshot.upstreams().stream()
         .filter(upstream -> roleOf(upstream) == role)
         .filter(upstream -> !servingOnly || isServing(upstream))
         .count();
@@ -214,14 +214,14 @@
     boolean ordered = orders.stream().anyMatch(order -> order.upstream().equals(upstream.name()));
     return !ordered
         && !upstream.drained()
-        && !picture.underWay().contains(upstream.name())
+        && !snapshot.inFlight().contains(upstream.name())
         && state(upstream.name())
             .filter(state -> !state.leaving() && !isTakenOutByUs(state))
             .isPresent();
   }
 
   private Optional<EngineState> state(UpstreamName upstream) {
-    return Optional.ofNullable(picture.states().get(upstream));
+    return Optional.ofNullable(snapshot.states().get(upstream));
   }
 
   private void planOperatorOrder(String name, OperatorOrder wish) {
@@ -230,7 +230,7 @@
     }
     EngineOrder order = direct.order();
     Optional<UpstreamDefinition> upstream =
-        picture.upstreams().stream()
+        snapshot.upstreams().stream()
             .filter(candidate -> candidate.name().equals(order.upstream()))
             .findFirst();
     Optional<EngineState> state = state(order.upstream());
@@ -251,7 +251,7 @@
       return;
     }
     boolean taken =
-        picture.underWay().contains(upstream.name())
+        snapshot.inFlight().contains(upstream.name())
             || orders.stream().anyMatch(other -> other.upstream().equals(upstream.name()));
     if (taken) {
       return;
@@ -283,7 +283,7 @@
   }
 
   private void finishResumes() {
-    picture.operatorOrders().entrySet().stream()
+    snapshot.operatorOrders().entrySet().stream()
         .filter(entry -> entry.getValue() instanceof OperatorOrder.Resume)
         .map(Map.Entry::getKey)
         .forEach(finished::add);
--- a/core/src/main/java/org/marjoramsail/core/order/ServicePicture.java
+++ b/core/src/main/java/org/marjoramsail/core/order/ServiceSnapshot.java
@@ -14,24 +14,24 @@
  * @param model what its engines should have loaded
  * @param upstreams its engines, as configured
  * @param states what each engine said after the last order to it; absent where it did not answer
- * @param underWay engines with an order that was sent and not yet seen in their state
+ * @param inFlight engines with an order that was sent and not yet seen in their state
  * @param operatorOrders what operators ordered for it, by name
  * @param freeWeightLoads how many loads may begin now
  */
-public record ServicePicture(
+public record ServiceSnapshot(
     String service,
     ModelDefinition model,
     List<UpstreamDefinition> upstreams,
     Map<UpstreamName, EngineState> states,
-    Set<UpstreamName> underWay,
+    Set<UpstreamName> inFlight,
     Map<String, OperatorOrder> operatorOrders,
     int freeWeightLoads) {
 
   /** Copies the collections, so that the value cannot change. */
-  public ServicePicture {
+  public ServiceSnapshot {
     upstreams = List.copyOf(upstreams);
     states = Map.copyOf(states);
-    underWay = Set.copyOf(underWay);
+    inFlight = Set.copyOf(inFlight);
     operatorOrders = Map.copyOf(operatorOrders);
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/order/OrderPlannerTest.java
+++ b/core/src/test/java/org/marjoramsail/core/order/OrderPlannerTest.java
@@ -106,7 +106,7 @@
     engines.forEach(engine -> states.put(engine.definition.name(), engine.state()));
     long loading = states.values().stream().filter(EngineState::isLoadingWeights).count();
     return OrderPlanner.plan(
-        new ServicePicture(
+        new ServiceSnapshot(
             "lector",
             model,
             engines.stream().map(engine -> engine.definition).toList(),
--- a/daemon/src/main/java/org/marjoramsail/daemon/order/LeaseShard.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/order/LeaseShard.java
@@ -21,7 +21,7 @@
 import org.marjoramsail.core.order.OrderPlan;
 import org.marjoramsail.core.order.OrderPlanner;
 import org.marjoramsail.core.order.OrderStatus;
-import org.marjoramsail.core.order.ServicePicture;
+import org.marjoramsail.core.order.ServiceSnapshot;
 import org.marjoramsail.core.time.Clock;
 
 /** The services under one lease: asks their engines, plans, and sends, in rounds. */
@@ -172,7 +172,7 @@
       own.values().removeIf(order -> !order.service().equals(service.name()));
       plan =
           OrderPlanner.plan(
-              new ServicePicture(
+              new ServiceSnapshot(
                   service.name(),
                   model,
                   upstreams,
