--- a/core/src/main/java/org/marjoramsail/core/order/LeaseKeeper.java
+++ b/core/src/main/java/org/marjoramsail/core/order/LeaseKeeper.java
@@ -23,25 +23,25 @@
   public static final long ACTING_MILLIS = 48_000;
 
   /** How long an order can be under way from its send until the engine has taken it. */
-  public static final long UNDER_WAY_MILLIS = 5_000;
+  public static final long MAXIMUM_IN_FLIGHT_MILLIS = 5_000;
 
-  private static final int REMEMBERED_RENEWALS = 16;
+  private static final int MAXIMUM_TRACKED_RENEWALS = 16;
 
   /** Tokens of one epoch of the store; far more than changes of holder between two restores. */
-  private static final long TOKENS_OF_EPOCH = 1_000_000;
+  private static final long TOKENS_PER_EPOCH = 1_000_000;
 
   /** In its first epoch the store has not come back from a copy, so that nothing of it is gone. */
   private static final long FIRST_EPOCH = 1;
 
   private final DaemonId self;
   private final LeaseTimes times;
-  private final Map<String, Long> renewalsSent = new LinkedHashMap<>();
+  private final Map<String, Long> renewalStartMillis = new LinkedHashMap<>();
 
-  private Optional<LeaseRecord> seen = Optional.empty();
-  private String seenVersion = "";
-  private long seenSinceMillis;
-  private boolean known;
-  private boolean calling;
+  private Optional<LeaseRecord> observedLease = Optional.empty();
+  private String observedVersion = "";
+  private long observedSinceMillis;
+  private boolean upToDate;
+  private boolean callInFlight;
   private long renewals;
   private long nextCallMillis;
   private long actingUntilMillis = Long.MIN_VALUE;
@@ -67,12 +67,12 @@
    * @param candidate whether this daemon should take the lease when it is free
    */
   public Optional<LeaseCall> tick(boolean candidate, long nowMillis) {
-    if (calling || nowMillis < nextCallMillis || !(candidate || isSeenAsOurs())) {
+    if (callInFlight || nowMillis < nextCallMillis || !(candidate || isHeldBySelf())) {
       return Optional.empty();
     }
-    calling = true;
+    callInFlight = true;
     nextCallMillis = nowMillis + times.renewalMillis();
-    if (known && (isSeenAsOurs() || isFree(nowMillis))) {
+    if (upToDate && (isHeldBySelf() || isFree(nowMillis))) {
       return Optional.of(write(nowMillis));
     }
     return Optional.of(new LeaseCall.Read());
@@ -80,22 +80,22 @@
 
   /** The lease was read; an absent one was never held. */
   public void read(Optional<LeaseRecord> lease, String version, long nowMillis) {
-    calling = false;
-    see(lease, version, nowMillis);
-    if (isSeenAsOurs() || isFree(nowMillis)) {
+    callInFlight = false;
+    observe(lease, version, nowMillis);
+    if (isHeldBySelf() || isFree(nowMillis)) {
       nextCallMillis = Math.min(nextCallMillis, nowMillis);
     }
-    if (isSeenAsOurs()) {
-      takeOver(lease.orElseThrow(), nowMillis);
+    if (isHeldBySelf()) {
+      applyOwnLease(lease.orElseThrow(), nowMillis);
     }
   }
 
   /** The lease was written. */
   public void written(LeaseRecord lease, String version, long nowMillis) {
-    calling = false;
-    see(Optional.of(lease), version, nowMillis);
-    if (isSeenAsOurs()) {
-      takeOver(lease, nowMillis);
+    callInFlight = false;
+    observe(Optional.of(lease), version, nowMillis);
+    if (isHeldBySelf()) {
+      applyOwnLease(lease, nowMillis);
     }
   }
 
@@ -105,22 +105,23 @@
     // that it no longer has; giving up would leave the engines alone for a whole lease. The lease
     // is
     // read back, and the time of the renewal that is found counts.
-    calling = false;
-    known = false;
+    callInFlight = false;
+    upToDate = false;
     nextCallMillis = nowMillis + times.retryMillis();
   }
 
   /** Gives the lease back at once; nothing may be sent under it from now on. */
   public Optional<LeaseCall> release() {
     actingUntilMillis = Long.MIN_VALUE;
-    if (calling || !known || !isSeenAsOurs()) {
+    if (callInFlight || !upToDate || !isHeldBySelf()) {
       return Optional.empty();
     }
-    calling = true;
-    LeaseRecord mine = seen.orElseThrow();
+    callInFlight = true;
+    LeaseRecord ownLease = observedLease.orElseThrow();
     String renewal = self + "/released";
     return Optional.of(
-        new LeaseCall.Write(new LeaseRecord(Optional.empty(), mine.token(), renewal), seenVersion));
+        new LeaseCall.Write(
+            new LeaseRecord(Optional.empty(), ownLease.token(), renewal), observedVersion));
   }
 
   /**
@@ -135,18 +136,18 @@
     // Failure: the former holder sent an order in its last moment, and the engine takes it after an
     // order of this one, since it ignores tokens. The former holder sends nothing after its lease,
     // and what it sent before has arrived once the longest time under way is over.
-    return fenced || nowMillis - heldSinceMillis >= UNDER_WAY_MILLIS;
+    return fenced || nowMillis - heldSinceMillis >= MAXIMUM_IN_FLIGHT_MILLIS;
   }
 
   /**
    * Records that this daemon may have stood still without noticing, so that its lease may be over.
    * It acts again only once a renewal that begins from now on is seen in the store.
    */
-  public void distrust(long nowMillis) {
+  public void invalidate(long nowMillis) {
     actingUntilMillis = Long.MIN_VALUE;
-    renewalsSent.clear();
+    renewalStartMillis.clear();
     heldSinceMillis = nowMillis;
-    known = false;
+    upToDate = false;
     nextCallMillis = nowMillis;
   }
 
@@ -158,17 +159,17 @@
    * an earlier epoch is void at its holder, is waited out by all others, and each token of an epoch
    * is above all of those before it.
    */
-  public void epoch(long newest, long nowMillis) {
+  public void observeEpoch(long newest, long nowMillis) {
     if (newest == epoch) {
       return;
     }
     boolean isRestored = epoch != 0;
     epoch = newest;
     if (isRestored) {
-      distrust(nowMillis);
-      seen = Optional.empty();
-      seenVersion = "";
-      seenSinceMillis = nowMillis;
+      invalidate(nowMillis);
+      observedLease = Optional.empty();
+      observedVersion = "";
+      observedSinceMillis = nowMillis;
     }
   }
 
@@ -184,51 +185,53 @@
 
   private LeaseCall write(long nowMillis) {
     renewals++;
-    long token = seen.map(LeaseRecord::token).orElse(0L);
+    long token = observedLease.map(LeaseRecord::token).orElse(0L);
     String renewal = self + "/" + renewals;
-    renewalsSent.put(renewal, nowMillis);
-    if (renewalsSent.size() > REMEMBERED_RENEWALS) {
-      renewalsSent.remove(renewalsSent.keySet().iterator().next());
+    renewalStartMillis.put(renewal, nowMillis);
+    if (renewalStartMillis.size() > MAXIMUM_TRACKED_RENEWALS) {
+      renewalStartMillis.remove(renewalStartMillis.keySet().iterator().next());
     }
-    long next = isSeenAsOurs() ? token : Math.max(token, epoch * TOKENS_OF_EPOCH) + 1;
+    long nextToken = isHeldBySelf() ? token : Math.max(token, epoch * TOKENS_PER_EPOCH) + 1;
     return new LeaseCall.Write(
-        new LeaseRecord(Optional.of(self.toString()), next, renewal), seenVersion);
+        new LeaseRecord(Optional.of(self.toString()), nextToken, renewal), observedVersion);
   }
 
-  private void see(Optional<LeaseRecord> lease, String version, long nowMillis) {
+  private void observe(Optional<LeaseRecord> lease, String version, long nowMillis) {
     // Failure: a holder is alive and its renewals succeed. Counting from the first sight of the
     // holder rather than of this version would take the lease from it.
-    if (!version.equals(seenVersion)) {
-      seenSinceMillis = nowMillis;
+    if (!version.equals(observedVersion)) {
+      observedSinceMillis = nowMillis;
     }
-    seen = lease;
-    seenVersion = version;
-    known = true;
+    observedLease = lease;
+    observedVersion = version;
+    upToDate = true;
   }
 
-  private void takeOver(LeaseRecord lease, long nowMillis) {
-    Optional<Long> sent = Optional.ofNullable(renewalsSent.get(lease.renewal()));
+  private void applyOwnLease(LeaseRecord lease, long nowMillis) {
+    Optional<Long> sentMillis = Optional.ofNullable(renewalStartMillis.get(lease.renewal()));
     if (lease.token() != heldToken) {
       heldToken = lease.token();
       heldSinceMillis = nowMillis;
     }
-    sent.ifPresent(
-        time -> actingUntilMillis = Math.max(actingUntilMillis, time + times.actingMillis()));
+    sentMillis.ifPresent(
+        startMillis ->
+            actingUntilMillis = Math.max(actingUntilMillis, startMillis + times.actingMillis()));
   }
 
-  private boolean isSeenAsOurs() {
+  private boolean isHeldBySelf() {
     return !isOfEarlierEpoch()
-        && seen.flatMap(LeaseRecord::holder).filter(self.toString()::equals).isPresent();
+        && observedLease.flatMap(LeaseRecord::holder).filter(self.toString()::equals).isPresent();
   }
 
   /** Whether others may have held the lease since what is seen of it was written. */
   private boolean isOfEarlierEpoch() {
     return epoch > FIRST_EPOCH
-        && seen.map(LeaseRecord::token).orElse(0L) <= epoch * TOKENS_OF_EPOCH;
+        && observedLease.map(LeaseRecord::token).orElse(0L) <= epoch * TOKENS_PER_EPOCH;
   }
 
   private boolean isFree(long nowMillis) {
-    boolean held = seen.flatMap(LeaseRecord::holder).isPresent();
-    return (!held && !isOfEarlierEpoch()) || nowMillis - seenSinceMillis >= times.durationMillis();
+    boolean held = observedLease.flatMap(LeaseRecord::holder).isPresent();
+    return (!held && !isOfEarlierEpoch())
+        || nowMillis - observedSinceMillis >= times.durationMillis();
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/order/LeaseHistory.java
+++ b/core/src/test/java/org/marjoramsail/core/order/LeaseHistory.java
@@ -128,7 +128,7 @@
 
   /** Lets all orders that are under way arrive. */
   void finish() {
-    pass(LeaseKeeper.UNDER_WAY_MILLIS, 0);
+    pass(LeaseKeeper.MAXIMUM_IN_FLIGHT_MILLIS, 0);
   }
 
   private void pass(long millis, int detail) {
@@ -156,10 +156,10 @@
       return;
     }
     if (holder.watch.hasSuspended()) {
-      holder.keeper.distrust(holder.clock(now));
+      holder.keeper.invalidate(holder.clock(now));
     }
     if (holder.keeper.mayAct(fenced, holder.clock(now))) {
-      long delay = detail / 7 % LeaseKeeper.UNDER_WAY_MILLIS;
+      long delay = detail / 7 % LeaseKeeper.MAXIMUM_IN_FLIGHT_MILLIS;
       flights.add(new Flight(now + delay, holder.keeper.token(), fenced));
     }
   }
--- a/core/src/test/java/org/marjoramsail/core/order/LeaseHistoryTest.java
+++ b/core/src/test/java/org/marjoramsail/core/order/LeaseHistoryTest.java
@@ -61,7 +61,7 @@
 
     assertThat(keeper.mayAct(true, 40)).isTrue();
     assertThat(keeper.mayAct(false, 40)).isFalse();
-    assertThat(keeper.mayAct(false, 30 + LeaseKeeper.UNDER_WAY_MILLIS)).isTrue();
+    assertThat(keeper.mayAct(false, 30 + LeaseKeeper.MAXIMUM_IN_FLIGHT_MILLIS)).isTrue();
     assertThat(keeper.mayAct(true, 20 + LeaseKeeper.ACTING_MILLIS)).isFalse();
     assertThat(keeper.mayAct(true, 120_000)).isFalse();
   }
--- a/core/src/test/java/org/marjoramsail/core/order/RestoredLeaseTest.java
+++ b/core/src/test/java/org/marjoramsail/core/order/RestoredLeaseTest.java
@@ -24,8 +24,8 @@
 
   @BeforeEach
   void hearTheFirstEpoch() {
-    first.epoch(1, now);
-    second.epoch(1, now);
+    first.observeEpoch(1, now);
+    second.observeEpoch(1, now);
   }
 
   @Test
@@ -33,7 +33,7 @@
     takeLease(first);
 
     restore(Optional.empty());
-    first.epoch(2, now);
+    first.observeEpoch(2, now);
 
     assertThat(first.mayAct(true, now)).isFalse();
   }
@@ -44,7 +44,7 @@
     long before = first.token();
 
     restore(Optional.empty());
-    second.epoch(2, now);
+    second.observeEpoch(2, now);
     takeLease(second);
 
     assertThat(second.token()).isGreaterThan(before);
@@ -56,7 +56,7 @@
     takeLease(first);
 
     restore(Optional.empty());
-    second.epoch(2, now);
+    second.observeEpoch(2, now);
     takeLease(second);
 
     assertThat(first.mayAct(true, now)).isFalse();
@@ -70,7 +70,7 @@
     long before = first.token();
 
     restore(copied);
-    first.epoch(2, now);
+    first.observeEpoch(2, now);
     takeLease(first);
 
     assertThat(first.token()).isGreaterThan(before);
--- a/core/src/test/java/org/marjoramsail/core/order/SuspendedHolderTest.java
+++ b/core/src/test/java/org/marjoramsail/core/order/SuspendedHolderTest.java
@@ -57,7 +57,7 @@
 
     private void order() {
       if (watch.hasSuspended()) {
-        keeper.distrust(steady.millis());
+        keeper.invalidate(steady.millis());
       }
       if (keeper.mayAct(UNFENCED, steady.millis())) {
         orders.add(keeper.token());
