--- a/core/src/main/java/org/marjoramsail/core/order/LeaseTimes.java
+++ b/core/src/main/java/org/marjoramsail/core/order/LeaseTimes.java
@@ -25,10 +25,10 @@
   /**
    * The same times, stretched so that a lease is waited out for at least so long.
    *
-   * @param leastMillis how long one holder has to be alone, in milliseconds
+   * @param minimumMillis how long one holder has to be alone, in milliseconds
    */
-  public LeaseTimes lastingAtLeast(double leastMillis) {
-    double factor = Math.max(1, leastMillis / durationMillis);
+  public LeaseTimes withDurationAtLeast(double minimumMillis) {
+    double factor = Math.max(1, minimumMillis / durationMillis);
     return new LeaseTimes(
         (long) Math.ceil(durationMillis * factor),
         (long) (actingMillis * factor),
--- a/core/src/test/java/org/marjoramsail/core/order/LeaseTimesTest.java
+++ b/core/src/test/java/org/marjoramsail/core/order/LeaseTimesTest.java
@@ -8,7 +8,7 @@
 
   @Test
   void aLeaseThatIsLongEnoughKeepsItsTimes() {
-    assertThat(LeaseTimes.quick().lastingAtLeast(3_000)).isEqualTo(LeaseTimes.quick());
+    assertThat(LeaseTimes.quick().withDurationAtLeast(3_000)).isEqualTo(LeaseTimes.quick());
   }
 
   /**
@@ -16,8 +16,8 @@
    * usual 12 s would have given orders while those of the holder before it still counted.
    */
   @Test
-  void aLeaseIsWaitedOutForAsLongAsThePlatformAsks() {
-    LeaseTimes times = LeaseTimes.quick().lastingAtLeast(20_000.5);
+  void aLeaseLastsAsLongAsThePlatformRequires() {
+    LeaseTimes times = LeaseTimes.quick().withDurationAtLeast(20_000.5);
 
     assertThat(times.durationMillis()).isGreaterThanOrEqualTo(20_001);
     assertThat(times.actingMillis()).isLessThan(times.durationMillis() * 3 / 4);
