--- a/core/src/main/java/org/marjoramsail/core/order/EngineOrderKind.java
+++ b/core/src/main/java/org/marjoramsail/core/order/EngineOrderKind.java
@@ -15,11 +15,11 @@
   RETURN(false, false);
 
   private final boolean loadingWeights;
-  private final boolean needingEmptyEngine;
+  private final boolean requiringIdleEngine;
 
-  EngineOrderKind(boolean loadingWeights, boolean needingEmptyEngine) {
+  EngineOrderKind(boolean loadingWeights, boolean requiringIdleEngine) {
     this.loadingWeights = loadingWeights;
-    this.needingEmptyEngine = needingEmptyEngine;
+    this.requiringIdleEngine = requiringIdleEngine;
   }
 
   /** Whether it draws on the rate-limited weight store. */
@@ -28,8 +28,8 @@
   }
 
   /** Whether requests on the engine would be cut off by it. */
-  public boolean isNeedingEmptyEngine() {
-    return needingEmptyEngine;
+  public boolean isRequiringIdleEngine() {
+    return requiringIdleEngine;
   }
 
   /** The kind in lower case with hyphens, as engines see it. */
--- a/core/src/main/java/org/marjoramsail/core/order/OrderNames.java
+++ b/core/src/main/java/org/marjoramsail/core/order/OrderNames.java
@@ -16,11 +16,11 @@
   private static final String NUMBER_MARK = "#";
 
   private final ServiceSnapshot snapshot;
-  private final long tries;
+  private final long attempts;
 
   OrderNames(ServiceSnapshot snapshot) {
     this.snapshot = snapshot;
-    this.tries =
+    this.attempts =
         snapshot.operatorOrders().values().stream()
             .filter(OperatorOrder.Resume.class::isInstance)
             .count();
@@ -30,19 +30,19 @@
     return order.startsWith(PREFIX);
   }
 
-  boolean isOfThisTry(UpstreamDefinition upstream, String order) {
-    return order.startsWith(stem(upstream));
+  boolean isOfCurrentAttempt(UpstreamDefinition upstream, String order) {
+    return order.startsWith(attemptPrefix(upstream));
   }
 
   /** Whether an order is the present wish's and try's order of this kind. */
-  boolean isSame(UpstreamDefinition upstream, EngineOrder wished, String order) {
-    String name = wished.order();
-    return order.startsWith(stem(upstream))
+  boolean isSameOrder(UpstreamDefinition upstream, EngineOrder desired, String order) {
+    String name = desired.order();
+    return order.startsWith(attemptPrefix(upstream))
         && order.startsWith(name.substring(0, name.lastIndexOf(NUMBER_MARK) + 1));
   }
 
   EngineOrder plain(UpstreamDefinition upstream, EngineOrderKind kind) {
-    String order = stem(upstream) + kind.code() + number(upstream);
+    String order = attemptPrefix(upstream) + kind.code() + nextNumber(upstream);
     return EngineOrder.plain(order, upstream.name(), kind);
   }
 
@@ -52,7 +52,7 @@
    * <p>An order that was lost on its way gets the same number again; the same wish at a later time
    * gets another, so that the engine does not take it for a repeat.
    */
-  private String number(UpstreamDefinition upstream) {
+  private String nextNumber(UpstreamDefinition upstream) {
     long highest =
         Optional.ofNullable(snapshot.states().get(upstream.name())).stream()
             .flatMap(state -> state.orders().stream())
@@ -67,7 +67,7 @@
   private static long numberOf(String order) {
     try {
       return Long.parseLong(order.substring(order.lastIndexOf(NUMBER_MARK) + 1));
-    } catch (NumberFormatException foreign) {
+    } catch (NumberFormatException otherFormat) {
       return 0;
     }
   }
@@ -87,7 +87,7 @@
   EngineOrder loadAdapter(UpstreamDefinition upstream, String adapter) {
     EngineOrder plain = plain(upstream, EngineOrderKind.LOAD_ADAPTER);
     return new EngineOrder(
-        stem(upstream) + plain.kind().code() + "." + adapter + number(upstream),
+        attemptPrefix(upstream) + plain.kind().code() + "." + adapter + nextNumber(upstream),
         plain.upstream(),
         plain.kind(),
         Optional.of(snapshot.model().name()),
@@ -108,9 +108,9 @@
         Optional.of(upstream.role()));
   }
 
-  private String stem(UpstreamDefinition upstream) {
-    String wish = snapshot.model() + " " + upstream.role();
-    long hash = Hashing.xxh3_64().hashCharsToLong(wish);
-    return PREFIX + Long.toHexString(hash) + "." + tries + ".";
+  private String attemptPrefix(UpstreamDefinition upstream) {
+    String desiredState = snapshot.model() + " " + upstream.role();
+    long hash = Hashing.xxh3_64().hashCharsToLong(desiredState);
+    return PREFIX + Long.toHexString(hash) + "." + attempts + ".";
   }
 }
--- a/core/src/main/java/org/marjoramsail/core/order/OrderPlanner.java
+++ b/core/src/main/java/org/marjoramsail/core/order/OrderPlanner.java
@@ -20,7 +20,7 @@
  */
 public final class OrderPlanner {
 
-  private static final int LARGEST_SHARE_OUT = 4;
+  private static final int DRAINED_POOL_DIVISOR = 4;
 
   private final ServiceSnapshot snapshot;
   private final OrderNames names;
@@ -56,51 +56,51 @@
   }
 
   private void planUpstream(UpstreamDefinition upstream, boolean paused) {
-    Optional<EngineState> known = state(upstream.name());
-    if (known.isEmpty()) {
-      note(upstream, Step.UNREACHABLE, "");
+    Optional<EngineState> reported = state(upstream.name());
+    if (reported.isEmpty()) {
+      addStatus(upstream, Step.UNREACHABLE, "");
       return;
     }
-    EngineState state = known.get();
+    EngineState state = reported.get();
     if (snapshot.inFlight().contains(upstream.name())) {
-      note(upstream, Step.ORDERED, "");
+      addStatus(upstream, Step.ORDERED, "");
       return;
     }
     if (failure(upstream).isPresent()) {
-      note(upstream, Step.FAILED, failure(upstream).get());
+      addStatus(upstream, Step.FAILED, failure(upstream).get());
       return;
     }
     Optional<EngineOrder> change = nextChange(upstream, state);
     if (change.isEmpty()) {
-      bringBack(upstream, state);
-    } else if (isTaken(upstream, state, change.get())) {
-      note(upstream, Step.ORDERED, "");
-    } else if (change.get().kind().isNeedingEmptyEngine()) {
-      changeEmptied(upstream, state, change.get(), paused);
+      returnToService(upstream, state);
+    } else if (isAlreadyOrdered(upstream, state, change.get())) {
+      addStatus(upstream, Step.ORDERED, "");
+    } else if (change.get().kind().isRequiringIdleEngine()) {
+      changeWhenIdle(upstream, state, change.get(), paused);
     } else {
       sendLoad(upstream, change.get());
     }
   }
 
-  private void bringBack(UpstreamDefinition upstream, EngineState state) {
-    if (state.leaving() && isTakenOutByUs(state)) {
+  private void returnToService(UpstreamDefinition upstream, EngineState state) {
+    if (state.leaving() && isDrainedByRollout(state)) {
       send(upstream, names.plain(upstream, EngineOrderKind.RETURN));
     }
   }
 
-  private void changeEmptied(
+  private void changeWhenIdle(
       UpstreamDefinition upstream, EngineState state, EngineOrder change, boolean paused) {
-    if (!state.leaving() && isTakenOutByUs(state)) {
-      note(upstream, Step.DRAINING, "");
+    if (!state.leaving() && isDrainedByRollout(state)) {
+      addStatus(upstream, Step.DRAINING, "");
     } else if (!state.leaving()) {
-      takeOut(upstream, state, paused);
-    } else if (!isTakenOutByUs(state)) {
-      note(upstream, Step.WAITING_FOR_TURN, "leaving by itself");
+      drain(upstream, state, paused);
+    } else if (!isDrainedByRollout(state)) {
+      addStatus(upstream, Step.WAITING_FOR_TURN, "leaving by itself");
     } else if (state.busy() > 0) {
       // Failure: a role change or a load cuts off the requests that the engine still runs. They
       // show as broken streams. An engine that says in one report that it leaves and is empty takes
       // no more, so only such a report lets the change go on.
-      note(upstream, Step.DRAINING, "");
+      addStatus(upstream, Step.DRAINING, "");
     } else if (change.kind().isLoadingWeights()) {
       sendLoad(upstream, change);
     } else {
@@ -108,19 +108,19 @@
     }
   }
 
-  private void takeOut(UpstreamDefinition upstream, EngineState state, boolean paused) {
+  private void drain(UpstreamDefinition upstream, EngineState state, boolean paused) {
     if (paused) {
-      note(upstream, Step.WAITING_FOR_TURN, "paused");
+      addStatus(upstream, Step.WAITING_FOR_TURN, "paused");
       return;
     }
     UpstreamRole role = state.role();
     long pool = count(role, false);
     long serving = count(role, true);
-    long allowedOut = Math.max(1, pool / LARGEST_SHARE_OUT);
+    long allowedDrained = Math.max(1, pool / DRAINED_POOL_DIVISOR);
     if (serving <= 1) {
-      note(upstream, Step.LAST_OF_ITS_ROLE, "");
-    } else if (pool - serving >= allowedOut) {
-      note(upstream, Step.WAITING_FOR_TURN, "");
+      addStatus(upstream, Step.LAST_OF_ITS_ROLE, "");
+    } else if (pool - serving >= allowedDrained) {
+      addStatus(upstream, Step.WAITING_FOR_TURN, "");
     } else {
       send(upstream, names.plain(upstream, EngineOrderKind.LEAVE));
     }
@@ -128,7 +128,7 @@
 
   private void sendLoad(UpstreamDefinition upstream, EngineOrder order) {
     if (freeWeightLoads <= 0) {
-      note(upstream, Step.WAITING_FOR_WEIGHT_STORE, "");
+      addStatus(upstream, Step.WAITING_FOR_WEIGHT_STORE, "");
       return;
     }
     freeWeightLoads--;
@@ -137,10 +137,10 @@
 
   private void send(UpstreamDefinition upstream, EngineOrder order) {
     orders.add(order);
-    note(upstream, Step.ORDERED, "");
+    addStatus(upstream, Step.ORDERED, "");
   }
 
-  private void note(UpstreamDefinition upstream, Step step, String reason) {
+  private void addStatus(UpstreamDefinition upstream, Step step, String reason) {
     statuses.add(new UpstreamStatus(upstream.name().value(), step, reason));
   }
 
@@ -166,27 +166,28 @@
    *
    * <p>A load that is running, or is the last that it did, is not ordered again.
    */
-  private boolean isTaken(UpstreamDefinition upstream, EngineState state, EngineOrder change) {
-    return last(state)
+  private boolean isAlreadyOrdered(
+      UpstreamDefinition upstream, EngineState state, EngineOrder change) {
+    return latestOrder(state)
         .filter(progress -> progress.state() != State.FAILED)
-        .filter(progress -> names.isSame(upstream, change, progress.order()))
+        .filter(progress -> names.isSameOrder(upstream, change, progress.order()))
         .isPresent();
   }
 
-  private static Optional<OrderProgress> last(EngineState state) {
+  private static Optional<OrderProgress> latestOrder(EngineState state) {
     return state.orders().stream().reduce((earlier, later) -> later);
   }
 
   /** Why an order of the present wish failed on an engine; older wishes and tries do not count. */
   private Optional<String> failure(UpstreamDefinition upstream) {
     return state(upstream.name())
-        .flatMap(OrderPlanner::last)
+        .flatMap(OrderPlanner::latestOrder)
         .filter(progress -> progress.state() == State.FAILED)
-        .filter(progress -> names.isOfThisTry(upstream, progress.order()))
+        .filter(progress -> names.isOfCurrentAttempt(upstream, progress.order()))
         .map(progress -> progress.reason().orElse(""));
   }
 
-  private static boolean isTakenOutByUs(EngineState state) {
+  private static boolean isDrainedByRollout(EngineState state) {
     return state.orders().stream()
         .filter(
             progress ->
@@ -216,7 +217,7 @@
         && !upstream.drained()
         && !snapshot.inFlight().contains(upstream.name())
         && state(upstream.name())
-            .filter(state -> !state.leaving() && !isTakenOutByUs(state))
+            .filter(state -> !state.leaving() && !isDrainedByRollout(state))
             .isPresent();
   }
 
@@ -224,8 +225,8 @@
     return Optional.ofNullable(snapshot.states().get(upstream));
   }
 
-  private void planOperatorOrder(String name, OperatorOrder wish) {
-    if (!(wish instanceof OperatorOrder.Direct direct)) {
+  private void planOperatorOrder(String name, OperatorOrder operatorOrder) {
+    if (!(operatorOrder instanceof OperatorOrder.Direct direct)) {
       return;
     }
     EngineOrder order = direct.order();
@@ -250,16 +251,16 @@
       }
       return;
     }
-    boolean taken =
+    boolean alreadyOrdered =
         snapshot.inFlight().contains(upstream.name())
             || orders.stream().anyMatch(other -> other.upstream().equals(upstream.name()));
-    if (taken) {
+    if (alreadyOrdered) {
       return;
     }
     if (order.kind() == EngineOrderKind.LEAVE && count(state.role(), true) <= 1) {
-      note(upstream, Step.LAST_OF_ITS_ROLE, "");
-    } else if (order.kind().isNeedingEmptyEngine() && !(state.leaving() && state.busy() == 0)) {
-      note(upstream, Step.DRAINING, "order it to leave first");
+      addStatus(upstream, Step.LAST_OF_ITS_ROLE, "");
+    } else if (order.kind().isRequiringIdleEngine() && !(state.leaving() && state.busy() == 0)) {
+      addStatus(upstream, Step.DRAINING, "order it to leave first");
     } else if (order.kind().isLoadingWeights()) {
       sendLoad(upstream, order);
     } else {
--- a/core/src/test/java/org/marjoramsail/core/order/OrderPlannerTest.java
+++ b/core/src/test/java/org/marjoramsail/core/order/OrderPlannerTest.java
@@ -59,7 +59,7 @@
     }
 
     void take(EngineOrder order) {
-      assertThat(order.kind().isNeedingEmptyEngine() && (busy > 0 || !leaving)).isFalse();
+      assertThat(order.kind().isRequiringIdleEngine() && (busy > 0 || !leaving)).isFalse();
       boolean repeated = orders.stream().anyMatch(known -> known.order().equals(order.order()));
       if (repeated) {
         return;
