--- a/core/src/test/java/org/marjoramsail/core/order/LeaseHistory.java
+++ b/core/src/test/java/org/marjoramsail/core/order/LeaseHistory.java
@@ -25,8 +25,8 @@
     final double rate;
     final SuspensionWatch watch;
     long pausedUntil;
-    long cutOffUntil;
-    long stoodStillMillis;
+    long disconnectedUntil;
+    long suspendedMillis;
 
     Holder(int number, double rate, LeaseTimes times) {
       this.rate = rate;
@@ -35,25 +35,25 @@
     }
 
     long clock(long now) {
-      return Math.round((now - stoodStillMillis) * rate);
+      return Math.round((now - suspendedMillis) * rate);
     }
 
     void suspend(long millis) {
       pausedUntil = now + millis;
-      stoodStillMillis += millis;
+      suspendedMillis += millis;
     }
   }
 
-  private record Flight(long dueMillis, long token, boolean fenced) {}
+  private record SentOrder(long dueMillis, long token, boolean fenced) {}
 
-  private record Answer(int holder, Runnable effect) {}
+  private record StoreResponse(int holder, Runnable effect) {}
 
   private final boolean suspending;
   private final List<Holder> holders = new ArrayList<>();
-  private final List<Flight> flights = new ArrayList<>();
-  private final List<Answer> answers = new ArrayList<>();
-  private final List<Runnable> lateEffects = new ArrayList<>();
-  private final Map<Boolean, List<Long>> carriedOut = new HashMap<>();
+  private final List<SentOrder> sentOrders = new ArrayList<>();
+  private final List<StoreResponse> responses = new ArrayList<>();
+  private final List<Runnable> delayedWrites = new ArrayList<>();
+  private final Map<Boolean, List<Long>> executedTokens = new HashMap<>();
   private Optional<LeaseRecord> stored = Optional.empty();
   private long version;
   private long now;
@@ -75,13 +75,13 @@
     holders.add(new Holder(0, 1.0, times));
     holders.add(new Holder(1, 1.05, times));
     holders.add(new Holder(2, 0.95, times));
-    carriedOut.put(true, new ArrayList<>());
-    carriedOut.put(false, new ArrayList<>());
+    executedTokens.put(true, new ArrayList<>());
+    executedTokens.put(false, new ArrayList<>());
   }
 
   /** The tokens under which an engine has acted, in order. */
   List<Long> tokens(boolean fenced) {
-    return carriedOut.get(fenced);
+    return executedTokens.get(fenced);
   }
 
   int changesOfHolder() {
@@ -93,13 +93,13 @@
     int detail = choice / 100;
     Holder holder = holders.get(detail % HOLDERS);
     if (kind < 25) {
-      pass(200 + detail % 9_000, detail);
+      advance(200 + detail % 9_000, detail);
     } else if (kind < 65) {
-      act(holder, detail);
+      sendOrder(holder, detail);
     } else if (kind < 75) {
-      answer(detail);
+      deliverResponse(detail);
     } else if (kind < 77) {
-      holder.cutOffUntil = now + 1_000L * (detail % 120);
+      holder.disconnectedUntil = now + 1_000L * (detail % 120);
     } else if (kind < 78) {
       release(detail % HOLDERS);
     } else if (kind < 80) {
@@ -107,8 +107,8 @@
     } else if (kind < 83) {
       outageUntil = now + 1_000L * (detail % 60);
     } else if (kind < 86) {
-      List<Runnable> due = new ArrayList<>(lateEffects);
-      lateEffects.clear();
+      List<Runnable> due = new ArrayList<>(delayedWrites);
+      delayedWrites.clear();
       due.forEach(Runnable::run);
     } else {
       callStore(detail % HOLDERS, detail / 3);
@@ -128,29 +128,29 @@
 
   /** Lets all orders that are under way arrive. */
   void finish() {
-    pass(LeaseKeeper.MAXIMUM_IN_FLIGHT_MILLIS, 0);
+    advance(LeaseKeeper.MAXIMUM_IN_FLIGHT_MILLIS, 0);
   }
 
-  private void pass(long millis, int detail) {
+  private void advance(long millis, int detail) {
     now += millis;
-    flights.sort((left, right) -> Long.compare(left.dueMillis(), right.dueMillis()));
-    while (!flights.isEmpty() && flights.get(0).dueMillis() <= now) {
-      arrive(flights.remove(0));
+    sentOrders.sort((left, right) -> Long.compare(left.dueMillis(), right.dueMillis()));
+    while (!sentOrders.isEmpty() && sentOrders.get(0).dueMillis() <= now) {
+      execute(sentOrders.remove(0));
     }
     for (int number = 0; number < HOLDERS; number++) {
       callStore(number, detail / 11 + number);
     }
   }
 
-  private void arrive(Flight flight) {
-    List<Long> tokens = carriedOut.get(flight.fenced());
+  private void execute(SentOrder order) {
+    List<Long> tokens = executedTokens.get(order.fenced());
     long newest = tokens.stream().mapToLong(Long::longValue).max().orElse(0);
-    if (!flight.fenced() || flight.token() >= newest) {
-      tokens.add(flight.token());
+    if (!order.fenced() || order.token() >= newest) {
+      tokens.add(order.token());
     }
   }
 
-  private void act(Holder holder, int detail) {
+  private void sendOrder(Holder holder, int detail) {
     boolean fenced = detail / HOLDERS % 2 == 0;
     if (now < holder.pausedUntil) {
       return;
@@ -160,16 +160,16 @@
     }
     if (holder.keeper.mayAct(fenced, holder.clock(now))) {
       long delay = detail / 7 % LeaseKeeper.MAXIMUM_IN_FLIGHT_MILLIS;
-      flights.add(new Flight(now + delay, holder.keeper.token(), fenced));
+      sentOrders.add(new SentOrder(now + delay, holder.keeper.token(), fenced));
     }
   }
 
-  private void answer(int detail) {
-    if (!answers.isEmpty()) {
-      Answer answer = answers.get(detail % answers.size());
-      if (now >= holders.get(answer.holder()).pausedUntil) {
-        answers.remove(answer);
-        answer.effect().run();
+  private void deliverResponse(int detail) {
+    if (!responses.isEmpty()) {
+      StoreResponse response = responses.get(detail % responses.size());
+      if (now >= holders.get(response.holder()).pausedUntil) {
+        responses.remove(response);
+        response.effect().run();
       }
     }
   }
@@ -193,32 +193,34 @@
   }
 
   private void perform(int number, Holder holder, LeaseCall call, int detail) {
-    int fault = now < outageUntil || now < holder.cutOffUntil ? 0 : detail % 16;
+    int fault = now < outageUntil || now < holder.disconnectedUntil ? 0 : detail % 16;
     if (fault == 0) {
-      answers.add(new Answer(number, () -> holder.keeper.failed(holder.clock(now))));
+      responses.add(new StoreResponse(number, () -> holder.keeper.failed(holder.clock(now))));
     } else if (call instanceof LeaseCall.Write write && fault == 1) {
-      lateEffects.add(() -> write(write));
-      answers.add(new Answer(number, () -> holder.keeper.failed(holder.clock(now))));
+      delayedWrites.add(() -> write(write));
+      responses.add(new StoreResponse(number, () -> holder.keeper.failed(holder.clock(now))));
     } else if (call instanceof LeaseCall.Write write) {
       boolean written = write(write) && fault != 2;
-      String at = Long.toString(version);
-      answers.add(
-          new Answer(
+      String writtenVersion = Long.toString(version);
+      responses.add(
+          new StoreResponse(
               number,
               () -> {
                 if (written) {
-                  holder.keeper.written(write.lease(), at, holder.clock(now));
+                  holder.keeper.written(write.lease(), writtenVersion, holder.clock(now));
                 } else {
                   holder.keeper.failed(holder.clock(now));
                 }
               }));
     } else {
       Optional<LeaseRecord> content = stored;
-      String at = content.isEmpty() ? "" : Long.toString(version);
-      answers.add(new Answer(number, () -> holder.keeper.read(content, at, holder.clock(now))));
+      String readVersion = content.isEmpty() ? "" : Long.toString(version);
+      responses.add(
+          new StoreResponse(
+              number, () -> holder.keeper.read(content, readVersion, holder.clock(now))));
     }
     if (detail % 4 != 0) {
-      answers.remove(answers.size() - 1).effect().run();
+      responses.remove(responses.size() - 1).effect().run();
     }
   }
 
--- a/core/src/test/java/org/marjoramsail/core/order/LeaseHistoryTest.java
+++ b/core/src/test/java/org/marjoramsail/core/order/LeaseHistoryTest.java
@@ -38,7 +38,7 @@
 
   /** The times of leases on the platform, hosts that stand still with their clocks. */
   @Property(seed = "63", tries = 500)
-  void norDoesItWhereHostsAreSuspendedAndLeasesAreShort(
+  void noEngineActsForAFormerHolderWhereHostsAreSuspendedAndLeasesAreShort(
       @ForAll @Size(min = 100, max = 400)
           List<@IntRange(min = 0, max = 9_999_999) Integer> choices) {
     LeaseHistory history = new LeaseHistory(LeaseTimes.quick(), true);
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void aHolderThatWakesFromALongPauseSendsNothing() {
+  void aHolderThatResumesAfterALongPauseSendsNothing() {
     // A daemon holds the lease and its process stands still for two minutes. Another takes over.
     // The first wakes in the middle of its round, believing that it still holds the lease.
     LeaseKeeper keeper = new LeaseKeeper(new DaemonId("entry-1", 1), 0);
--- a/core/src/test/java/org/marjoramsail/core/order/OrderPlannerTest.java
+++ b/core/src/test/java/org/marjoramsail/core/order/OrderPlannerTest.java
@@ -37,13 +37,13 @@
     boolean leaving;
     boolean failing;
 
-    Engine(int number, UpstreamRole wanted, UpstreamRole role) {
+    Engine(int number, UpstreamRole desiredRole, UpstreamRole role) {
       this.role = role;
       this.definition =
           new UpstreamDefinition(
               new UpstreamName("lector-" + number),
               "lector",
-              wanted,
+              desiredRole,
               "10.0.0.1",
               9_000 + number,
               "a",
@@ -60,7 +60,7 @@
 
     void take(EngineOrder order) {
       assertThat(order.kind().isRequiringIdleEngine() && (busy > 0 || !leaving)).isFalse();
-      boolean repeated = orders.stream().anyMatch(known -> known.order().equals(order.order()));
+      boolean repeated = orders.stream().anyMatch(earlier -> earlier.order().equals(order.order()));
       if (repeated) {
         return;
       }
@@ -85,10 +85,10 @@
 
     void finishLoads() {
       orders.replaceAll(
-          known ->
-              known.state() == State.RUNNING
-                  ? new OrderProgress(known.order(), known.kind(), State.DONE, known.reason())
-                  : known);
+          earlier ->
+              earlier.state() == State.RUNNING
+                  ? new OrderProgress(earlier.order(), earlier.kind(), State.DONE, earlier.reason())
+                  : earlier);
     }
   }
 
@@ -126,12 +126,12 @@
     return plan;
   }
 
-  private long out(UpstreamRole role) {
+  private long drainedCount(UpstreamRole role) {
     return engines.stream().filter(engine -> engine.role == role && engine.leaving).count();
   }
 
   @Property(seed = "63", tries = 60)
-  void aRollingUpdateNeverTakesMoreThanAQuarterOutAndEnds(
+  void aRollingUpdateNeverDrainsMoreThanAQuarterOfAPoolAndCompletes(
       @ForAll @IntRange(min = 2, max = 13) int decoders,
       @ForAll @IntRange(min = 2, max = 5) int prefillers,
       @ForAll @Size(60) List<@IntRange(min = 0, max = 99) Integer> choices) {
@@ -146,13 +146,14 @@
       if (choice % 2 == 0) {
         engines.forEach(Engine::finishLoads);
       }
-      assertThat(out(UpstreamRole.DECODE)).isLessThanOrEqualTo(Math.max(1, decoders / 4));
-      assertThat(out(UpstreamRole.PREFILL)).isLessThanOrEqualTo(Math.max(1, prefillers / 4));
+      assertThat(drainedCount(UpstreamRole.DECODE)).isLessThanOrEqualTo(Math.max(1, decoders / 4));
+      assertThat(drainedCount(UpstreamRole.PREFILL))
+          .isLessThanOrEqualTo(Math.max(1, prefillers / 4));
       long loads = engines.stream().filter(it -> it.state().isLoadingWeights()).count();
       assertThat(loads).isLessThanOrEqualTo(2);
     }
     engines.forEach(engine -> engine.busy = 0);
-    for (int end = 0; end < 120; end++) {
+    for (int finalRound = 0; finalRound < 120; finalRound++) {
       round(V2);
       engines.forEach(Engine::finishLoads);
     }
@@ -161,7 +162,7 @@
   }
 
   @Test
-  void theLastServingEngineOfItsRoleIsNotTakenOut() {
+  void theLastServingEngineOfItsRoleIsNotDrained() {
     pool(1, UpstreamRole.DECODE);
 
     OrderPlan plan = plan(V2);
@@ -172,7 +173,7 @@
   }
 
   @Test
-  void aRoleChangesOnlyOnceTheEngineIsEmpty() {
+  void aRoleChangesOnlyAfterTheEngineIsIdle() {
     pool(3, UpstreamRole.DECODE);
     Engine changing = new Engine(3, UpstreamRole.PREFILL, UpstreamRole.DECODE);
     changing.busy = 2;
@@ -195,7 +196,7 @@
   }
 
   @Test
-  void aFailedLoadPausesTheRolloutAndTheOldVersionOrAResumeGoesOn() {
+  void aFailedLoadPausesTheRolloutUntilTheOldVersionIsConfiguredOrItIsResumed() {
     // A new version does not load on the first engine. Were the rollout to go on, engine after
     // engine would be taken out, and the pool would be empty in the end.
     pool(4, UpstreamRole.DECODE);
--- a/core/src/test/java/org/marjoramsail/core/order/RestoredLeaseTest.java
+++ b/core/src/test/java/org/marjoramsail/core/order/RestoredLeaseTest.java
@@ -23,14 +23,14 @@
   private long now;
 
   @BeforeEach
-  void hearTheFirstEpoch() {
+  void observeTheFirstEpoch() {
     first.observeEpoch(1, now);
     second.observeEpoch(1, now);
   }
 
   @Test
-  void aHolderStopsOnceItHearsThatTheStoreWasRestored() {
-    takeLease(first);
+  void aHolderStopsOnceItObservesThatTheStoreWasRestored() {
+    acquireLease(first);
 
     restore(Optional.empty());
     first.observeEpoch(2, now);
@@ -39,53 +39,53 @@
   }
 
   @Test
-  void noTokenStandsForTwoHoldersAndNoneFalls() {
-    takeLease(first);
-    long before = first.token();
+  void noTokenIsUsedByTwoHoldersAndTokensIncrease() {
+    acquireLease(first);
+    long tokenBefore = first.token();
 
     restore(Optional.empty());
     second.observeEpoch(2, now);
-    takeLease(second);
+    acquireLease(second);
 
-    assertThat(second.token()).isGreaterThan(before);
+    assertThat(second.token()).isGreaterThan(tokenBefore);
   }
 
   /** The holder is cut off, and cannot hear that what it renewed is gone. */
   @Test
-  void aSuccessorWaitsOutTheHolderOfTheEpochBefore() {
-    takeLease(first);
+  void aSuccessorWaitsUntilTheLeaseOfTheEarlierEpochHasExpired() {
+    acquireLease(first);
 
     restore(Optional.empty());
     second.observeEpoch(2, now);
-    takeLease(second);
+    acquireLease(second);
 
     assertThat(first.mayAct(true, now)).isFalse();
   }
 
   /** Its own name stands in the copy, but others may have held the lease since. */
   @Test
-  void aHolderThatTheCopyNamesTakesTheLeaseAnew() {
-    takeLease(first);
-    Optional<LeaseRecord> copied = stored;
-    long before = first.token();
+  void aHolderRecordedInTheBackupAcquiresTheLeaseAgain() {
+    acquireLease(first);
+    Optional<LeaseRecord> backup = stored;
+    long tokenBefore = first.token();
 
-    restore(copied);
+    restore(backup);
     first.observeEpoch(2, now);
-    takeLease(first);
+    acquireLease(first);
 
-    assertThat(first.token()).isGreaterThan(before);
+    assertThat(first.token()).isGreaterThan(tokenBefore);
   }
 
-  private void takeLease(LeaseKeeper keeper) {
-    long until = now + 3 * TIMES.durationMillis();
-    while (!keeper.mayAct(true, now) && now < until) {
+  private void acquireLease(LeaseKeeper keeper) {
+    long deadline = now + 3 * TIMES.durationMillis();
+    while (!keeper.mayAct(true, now) && now < deadline) {
       now += STEP_MILLIS;
-      keeper.tick(true, now).ifPresent(call -> answer(keeper, call));
+      keeper.tick(true, now).ifPresent(call -> performCall(keeper, call));
     }
     assertThat(keeper.mayAct(true, now)).isTrue();
   }
 
-  private void answer(LeaseKeeper keeper, LeaseCall call) {
+  private void performCall(LeaseKeeper keeper, LeaseCall call) {
     if (call instanceof LeaseCall.Write write) {
       if (!write.version().equals(stored.isEmpty() ? "" : Long.toString(version))) {
         keeper.failed(now);
@@ -99,8 +99,8 @@
     }
   }
 
-  private void restore(Optional<LeaseRecord> copied) {
-    stored = copied;
-    version = copied.isEmpty() ? 0 : 1;
+  private void restore(Optional<LeaseRecord> backup) {
+    stored = backup;
+    version = backup.isEmpty() ? 0 : 1;
   }
 }
--- a/core/src/test/java/org/marjoramsail/core/order/SuspendedHolderTest.java
+++ b/core/src/test/java/org/marjoramsail/core/order/SuspendedHolderTest.java
@@ -38,12 +38,12 @@
 
     private void step() {
       steady.advance(STEP_MILLIS);
-      keeper.tick(true, steady.millis()).ifPresent(this::call);
-      order();
+      keeper.tick(true, steady.millis()).ifPresent(this::perform);
+      sendOrderIfAllowed();
     }
 
-    private void call(LeaseCall call) {
-      String seen = Integer.toString(version);
+    private void perform(LeaseCall call) {
+      String readVersion = Integer.toString(version);
       if (call instanceof LeaseCall.Write write && write.version().equals(versionText())) {
         stored = Optional.of(write.lease());
         version++;
@@ -51,11 +51,11 @@
       } else if (call instanceof LeaseCall.Write) {
         keeper.failed(steady.millis());
       } else {
-        keeper.read(stored, version == 0 ? "" : seen, steady.millis());
+        keeper.read(stored, version == 0 ? "" : readVersion, steady.millis());
       }
     }
 
-    private void order() {
+    private void sendOrderIfAllowed() {
       if (watch.hasSuspended()) {
         keeper.invalidate(steady.millis());
       }
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void aHolderThatStoodStillGivesNoOrderAfterItsSuccessor() {
+  void aHolderThatWasSuspendedSendsNoOrderAfterItsSuccessor() {
     ManualClock wall = new ManualClock(1_000_000);
     Daemon first = new Daemon("first", wall);
     Daemon second = new Daemon("second", wall);
@@ -78,9 +78,9 @@
     assertThat(orders).isNotEmpty();
 
     run(second, wall, 200);
-    int ofBoth = orders.size();
-    first.order();
-    assertThat(orders).hasSize(ofBoth);
+    int countOfBoth = orders.size();
+    first.sendOrderIfAllowed();
+    assertThat(orders).hasSize(countOfBoth);
     run(first, wall, 20);
 
     assertThat(orders).isSorted();
@@ -89,7 +89,7 @@
 
   /** The clocks of a host drift by a few milliseconds; its holder goes on. */
   @Test
-  void aHolderWhoseClocksDriftALittleGoesOn() {
+  void aHolderWhoseClocksDriftSlightlyContinuesToSendOrders() {
     ManualClock wall = new ManualClock(1_000_000);
     Daemon first = new Daemon("first", wall);
     run(first, wall, 40);
