--- a/core/src/main/java/org/marjoramsail/core/order/EngineOrder.java
+++ b/core/src/main/java/org/marjoramsail/core/order/EngineOrder.java
@@ -5,15 +5,15 @@
 import org.marjoramsail.core.model.UpstreamRole;
 
 /**
- * One order to one engine; carrying it out twice changes nothing more.
+ * An idempotent order to one engine.
  *
- * @param order names it; the same wish tried again has another name
+ * @param order name of the order; a new attempt to reach the same desired state has another name
  * @param upstream the engine
- * @param kind what to do
- * @param model present for models
- * @param version present for loading a model
- * @param adapter present for adapters
- * @param role present for a change of role
+ * @param kind kind of the order
+ * @param model name of the model; present for orders about models
+ * @param version version of the model; present for loading a model
+ * @param adapter name of the adapter; present for orders about adapters
+ * @param role the new role; present for a change of role
  */
 public record EngineOrder(
     String order,
@@ -24,7 +24,7 @@
     Optional<String> adapter,
     Optional<UpstreamRole> role) {
 
-  /** An order that needs nothing beside its kind. */
+  /** Returns an order without parameters. */
   public static EngineOrder plain(String order, UpstreamName upstream, EngineOrderKind kind) {
     return new EngineOrder(
         order,
--- a/core/src/main/java/org/marjoramsail/core/order/EngineOrderKind.java
+++ b/core/src/main/java/org/marjoramsail/core/order/EngineOrderKind.java
@@ -2,16 +2,16 @@
 
 import java.util.Locale;
 
-/** What an engine can be ordered to do. */
+/** Kinds of orders to an engine. */
 public enum EngineOrderKind {
   LOAD_MODEL(true, true),
   UNLOAD_MODEL(false, true),
   LOAD_ADAPTER(true, false),
   UNLOAD_ADAPTER(false, false),
   CHANGE_ROLE(false, true),
-  /** Take no new work; what runs goes on. */
+  /** Accept no new requests; running requests continue. */
   LEAVE(false, false),
-  /** Take new work again. */
+  /** Accept new requests again. */
   RETURN(false, false);
 
   private final boolean loadingWeights;
@@ -22,17 +22,17 @@
     this.requiringIdleEngine = requiringIdleEngine;
   }
 
-  /** Whether it draws on the rate-limited weight store. */
+  /** Returns whether the order reads from the rate-limited weight store. */
   public boolean isLoadingWeights() {
     return loadingWeights;
   }
 
-  /** Whether requests on the engine would be cut off by it. */
+  /** Returns whether the order would interrupt requests that run on the engine. */
   public boolean isRequiringIdleEngine() {
     return requiringIdleEngine;
   }
 
-  /** The kind in lower case with hyphens, as engines see it. */
+  /** Returns the kind in lower case with hyphens, as sent to engines. */
   public String code() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/core/src/main/java/org/marjoramsail/core/order/EngineState.java
+++ b/core/src/main/java/org/marjoramsail/core/order/EngineState.java
@@ -6,15 +6,15 @@
 import org.marjoramsail.core.model.UpstreamRole;
 
 /**
- * What an engine said when it was last asked.
+ * State that an engine last reported.
  *
  * @param upstream the engine
- * @param role the role that it has
- * @param model the model that it has loaded; empty for none
+ * @param role its present role
+ * @param model the loaded model; empty for none
  * @param version the version of that model
- * @param adapters the adapters that it has loaded
- * @param busy how many requests it runs or has accepted
- * @param leaving whether it takes no new work
+ * @param adapters the loaded adapters
+ * @param busy number of requests that it runs or has accepted
+ * @param leaving whether it accepts no new requests
  * @param orders its latest orders, oldest first
  */
 public record EngineState(
@@ -27,18 +27,18 @@
     boolean leaving,
     List<OrderProgress> orders) {
 
-  /** Copies the lists, so that the value cannot change. */
+  /** Copies the lists, so that the record is immutable. */
   public EngineState {
     adapters = List.copyOf(adapters);
     orders = List.copyOf(orders);
   }
 
-  /** The order of this name, if the engine remembers it. */
+  /** Returns the progress of the named order if the engine still reports that order. */
   public Optional<OrderProgress> progress(String order) {
     return orders.stream().filter(entry -> entry.order().equals(order)).reduce((a, b) -> b);
   }
 
-  /** Whether it is loading weights now. */
+  /** Returns whether the engine is loading weights. */
   public boolean isLoadingWeights() {
     return orders.stream()
         .anyMatch(
--- a/core/src/main/java/org/marjoramsail/core/order/LeaseCall.java
+++ b/core/src/main/java/org/marjoramsail/core/order/LeaseCall.java
@@ -1,16 +1,19 @@
 package org.marjoramsail.core.order;
 
-/** A call of the store that a lease needs; its outcome has to be told to the keeper. */
+/**
+ * A call of the store that a {@link LeaseKeeper} requests; the caller reports its outcome to the
+ * keeper.
+ */
 public sealed interface LeaseCall {
 
-  /** Read the lease. */
+  /** Reads the lease. */
   record Read() implements LeaseCall {}
 
   /**
-   * Write the lease.
+   * Writes the lease by a conditional update.
    *
-   * @param lease its new content
-   * @param version the version that it must still have; empty to create it
+   * @param lease the new content
+   * @param version the version to replace; empty to create the lease
    */
   record Write(LeaseRecord lease, String version) implements LeaseCall {}
 }
--- a/core/src/main/java/org/marjoramsail/core/order/LeaseCandidates.java
+++ b/core/src/main/java/org/marjoramsail/core/order/LeaseCandidates.java
@@ -6,22 +6,22 @@
 import org.marjoramsail.core.membership.Member;
 import org.marjoramsail.core.membership.MembershipView;
 
-/** Which lease covers a service, and which daemons try to hold a lease. */
+/** Assigns services to leases, and leases to the daemons that may acquire them. */
 public final class LeaseCandidates {
 
-  /** How many leases there are in all. */
+  /** Total number of leases. */
   public static final int LEASES = 4;
 
   private static final int CANDIDATES = 3;
 
   private LeaseCandidates() {}
 
-  /** The number of the lease that covers a service, from zero. */
+  /** Returns the number, from zero, of the lease that covers a service. */
   public static int leaseOf(String service) {
     return (int) Math.floorMod(Hashing.xxh3_64().hashCharsToLong(service), (long) LEASES);
   }
 
-  /** Whether the viewing daemon should try to hold a lease. */
+  /** Returns whether the daemon of this view should try to acquire a lease. */
   public static boolean isCandidate(int lease, MembershipView view) {
     List<Member> ranked =
         view.members().stream()
--- a/core/src/main/java/org/marjoramsail/core/order/LeaseKeeper.java
+++ b/core/src/main/java/org/marjoramsail/core/order/LeaseKeeper.java
@@ -6,31 +6,31 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * One daemon's part in one lease: takes it, renews it, and knows how long it may act under it.
+ * Acquires and renews one lease for one daemon, and limits how long the daemon acts under it.
  *
- * <p>All times are readings of this daemon's own clock, in milliseconds. One call of the store is
- * under way at a time. Called under a lock of its owner.
+ * <p>All times are readings of the daemon's own clock, in milliseconds. At most one call of the
+ * store is in flight. Not thread-safe; callers hold a lock.
  */
 public final class LeaseKeeper {
 
-  /** How long a lease that is not renewed is waited out by others. */
+  /** Time that other daemons wait before they acquire a lease that is not renewed. */
   public static final long DURATION_MILLIS = 60_000;
 
   /**
-   * How long the holder acts after it began a renewal; shorter than the lease, so that clocks may
-   * differ by a tenth in their rates.
+   * How long the holder acts after the start of a renewal; shorter than the lease, so that the
+   * rates of clocks may differ by a tenth.
    */
   public static final long ACTING_MILLIS = 48_000;
 
-  /** How long an order can be under way from its send until the engine has taken it. */
+  /** Maximum time from the sending of an order until the engine has accepted it. */
   public static final long MAXIMUM_IN_FLIGHT_MILLIS = 5_000;
 
   private static final int MAXIMUM_TRACKED_RENEWALS = 16;
 
-  /** Tokens of one epoch of the store; far more than changes of holder between two restores. */
+  /** Tokens reserved for each epoch; far more than changes of holder between two restores. */
   private static final long TOKENS_PER_EPOCH = 1_000_000;
 
-  /** In its first epoch the store has not come back from a copy, so that nothing of it is gone. */
+  /** The epoch of a store that was never restored from a backup, so that no write is lost. */
   private static final long FIRST_EPOCH = 1;
 
   private final DaemonId self;
@@ -49,12 +49,12 @@
   private long heldSinceMillis;
   private long epoch;
 
-  /** Begins without the lease. */
+  /** Creates a keeper with the standard times that does not hold the lease. */
   public LeaseKeeper(DaemonId self, long nowMillis) {
     this(self, LeaseTimes.standard(), nowMillis);
   }
 
-  /** Begins without a lease that has times of its own. */
+  /** Creates a keeper with the given times that does not hold the lease. */
   public LeaseKeeper(DaemonId self, LeaseTimes times, long nowMillis) {
     this.self = self;
     this.times = times;
@@ -62,9 +62,9 @@
   }
 
   /**
-   * The next call of the store, if one is due; the caller sends it at once.
+   * Returns the next call of the store if one is due; the caller sends it immediately.
    *
-   * @param candidate whether this daemon should take the lease when it is free
+   * @param candidate whether this daemon should acquire the lease when it is free
    */
   public Optional<LeaseCall> tick(boolean candidate, long nowMillis) {
     if (callInFlight || nowMillis < nextCallMillis || !(candidate || isHeldBySelf())) {
@@ -78,7 +78,7 @@
     return Optional.of(new LeaseCall.Read());
   }
 
-  /** The lease was read; an absent one was never held. */
+  /** Handles the result of a read; {@code lease} is empty if the store has none. */
   public void read(Optional<LeaseRecord> lease, String version, long nowMillis) {
     callInFlight = false;
     observe(lease, version, nowMillis);
@@ -90,7 +90,7 @@
     }
   }
 
-  /** The lease was written. */
+  /** Handles a successful write. */
   public void written(LeaseRecord lease, String version, long nowMillis) {
     callInFlight = false;
     observe(Optional.of(lease), version, nowMillis);
@@ -99,18 +99,16 @@
     }
   }
 
-  /** A call failed, or its answer is lost: what the store holds has to be read. */
+  /** Handles a call that failed or whose response was lost; the lease has to be read again. */
   public void failed(long nowMillis) {
-    // Failure: the answer to a renewal is lost. Counting on it would let this daemon act on a lease
-    // that it no longer has; giving up would leave the engines alone for a whole lease. The lease
-    // is
-    // read back, and the time of the renewal that is found counts.
+    // The renewal may have succeeded although its response was lost, so neither success nor failure
+    // is assumed: the lease is read again, and the start of the renewal found there counts.
     callInFlight = false;
     upToDate = false;
     nextCallMillis = nowMillis + times.retryMillis();
   }
 
-  /** Gives the lease back at once; nothing may be sent under it from now on. */
+  /** Releases the lease immediately; nothing may be sent under it from now on. */
   public Optional<LeaseCall> release() {
     actingUntilMillis = Long.MIN_VALUE;
     if (callInFlight || !upToDate || !isHeldBySelf()) {
@@ -125,23 +123,23 @@
   }
 
   /**
-   * Whether an order may be sent now; to be asked just before each send.
+   * Returns whether an order may be sent now; callers check this immediately before each send.
    *
-   * @param fenced whether the engine refuses old tokens
+   * @param fenced whether the engine rejects older fencing tokens
    */
   public boolean mayAct(boolean fenced, long nowMillis) {
     if (nowMillis >= actingUntilMillis) {
       return false;
     }
-    // Failure: the former holder sent an order in its last moment, and the engine takes it after an
-    // order of this one, since it ignores tokens. The former holder sends nothing after its lease,
-    // and what it sent before has arrived once the longest time under way is over.
+    // Guards against an engine that ignores tokens and executes a late order of the former holder
+    // after one of this holder. The former holder sends nothing after its lease has ended, and its
+    // earlier orders have arrived after the maximum time in flight.
     return fenced || nowMillis - heldSinceMillis >= MAXIMUM_IN_FLIGHT_MILLIS;
   }
 
   /**
-   * Records that this daemon may have stood still without noticing, so that its lease may be over.
-   * It acts again only once a renewal that begins from now on is seen in the store.
+   * Stops acting under the lease, since the host may have been suspended and the lease may have
+   * expired. The daemon acts again only after a renewal that starts from now on is in the store.
    */
   public void invalidate(long nowMillis) {
     actingUntilMillis = Long.MIN_VALUE;
@@ -152,12 +150,12 @@
   }
 
   /**
-   * Records the epoch of the store, which rises when it comes back from a copy.
+   * Records the epoch of the store, which increases when the store is restored from a backup.
    *
-   * <p>Guards against two holders with one fencing token: the copy was made before a host took the
-   * lease, and the next one to read it would take it at once, under the same token. So a lease of
-   * an earlier epoch is void at its holder, is waited out by all others, and each token of an epoch
-   * is above all of those before it.
+   * <p>Guards against two holders with the same fencing token after a restore from a backup that
+   * was made before the present holder acquired the lease. The holder of a lease of an earlier
+   * epoch stops, all others wait until that lease has expired, and the tokens of an epoch are
+   * greater than all earlier ones.
    */
   public void observeEpoch(long newest, long nowMillis) {
     if (newest == epoch) {
@@ -173,12 +171,12 @@
     }
   }
 
-  /** The fencing token of the lease that this daemon holds or last held. */
+  /** Returns the fencing token of the lease that this daemon holds or last held. */
   public long token() {
     return heldToken;
   }
 
-  /** Whether this daemon holds the lease now. */
+  /** Returns whether this daemon holds the lease. */
   public boolean isHeld(long nowMillis) {
     return nowMillis < actingUntilMillis;
   }
@@ -197,8 +195,8 @@
   }
 
   private void observe(Optional<LeaseRecord> lease, String version, long nowMillis) {
-    // Failure: a holder is alive and its renewals succeed. Counting from the first sight of the
-    // holder rather than of this version would take the lease from it.
+    // The time restarts with each version: counted per holder, it would take the lease from a
+    // holder whose renewals succeed.
     if (!version.equals(observedVersion)) {
       observedSinceMillis = nowMillis;
     }
@@ -223,7 +221,7 @@
         && observedLease.flatMap(LeaseRecord::holder).filter(self.toString()::equals).isPresent();
   }
 
-  /** Whether others may have held the lease since what is seen of it was written. */
+  /** Returns whether other daemons may have held the lease after the observed write. */
   private boolean isOfEarlierEpoch() {
     return epoch > FIRST_EPOCH
         && observedLease.map(LeaseRecord::token).orElse(0L) <= epoch * TOKENS_PER_EPOCH;
--- a/core/src/main/java/org/marjoramsail/core/order/LeaseRecord.java
+++ b/core/src/main/java/org/marjoramsail/core/order/LeaseRecord.java
@@ -3,13 +3,13 @@
 import java.util.Optional;
 
 /**
- * A lease as the store holds it.
+ * A lease as stored.
  *
- * <p>It has no time in it: the holder counts from before it sent the renewal, others from when they
- * first saw it, each on a clock of its own.
+ * <p>It contains no time: the holder counts from before it sent the renewal, other daemons from
+ * when they first read it, each by its own clock.
  *
- * @param holder the run of a daemon that holds it; empty when it was given back
- * @param token rises with each change of holder
- * @param renewal names this writing of it, so that a writer knows its own again
+ * @param holder the incarnation of the daemon that holds the lease; empty after a release
+ * @param token fencing token, which increases with each change of holder
+ * @param renewal identifier of this write, by which its writer recognises it
  */
 public record LeaseRecord(Optional<String> holder, long token, String renewal) {}
--- a/core/src/main/java/org/marjoramsail/core/order/LeaseTimes.java
+++ b/core/src/main/java/org/marjoramsail/core/order/LeaseTimes.java
@@ -1,31 +1,31 @@
 package org.marjoramsail.core.order;
 
 /**
- * How long a lease is held and waited out, in milliseconds.
+ * Durations of a lease, in milliseconds.
  *
- * @param durationMillis how long a lease that is not renewed is waited out by others
- * @param actingMillis how long the holder acts after it began a renewal; shorter than the lease, so
- *     that clocks may differ in their rates
- * @param renewalMillis how often the holder renews it
- * @param retryMillis how long after a failed call the next is made
+ * @param durationMillis how long other daemons wait before they acquire a lease that is not renewed
+ * @param actingMillis how long the holder acts after the start of a renewal; shorter than the
+ *     lease, so that the rates of clocks may differ
+ * @param renewalMillis interval at which the holder renews the lease
+ * @param retryMillis delay between a failed call and the next
  */
 public record LeaseTimes(
     long durationMillis, long actingMillis, long renewalMillis, long retryMillis) {
 
-  /** Times that cost few calls of the store; clocks may differ by a tenth in their rates. */
+  /** Returns times that need few calls of the store; clock rates may differ by a tenth. */
   public static LeaseTimes standard() {
     return new LeaseTimes(LeaseKeeper.DURATION_MILLIS, LeaseKeeper.ACTING_MILLIS, 20_000, 2_000);
   }
 
-  /** Times for a lease that another daemon takes over within some seconds. */
+  /** Returns times for a lease that another daemon can acquire within seconds. */
   public static LeaseTimes quick() {
     return new LeaseTimes(12_000, 8_000, 4_000, 1_000);
   }
 
   /**
-   * The same times, stretched so that a lease is waited out for at least so long.
+   * Returns these times, scaled so that the duration of a lease has at least the given value.
    *
-   * @param minimumMillis how long one holder has to be alone, in milliseconds
+   * @param minimumMillis minimum duration of a lease, in milliseconds
    */
   public LeaseTimes withDurationAtLeast(double minimumMillis) {
     double factor = Math.max(1, minimumMillis / durationMillis);
--- a/core/src/main/java/org/marjoramsail/core/order/OperatorOrder.java
+++ b/core/src/main/java/org/marjoramsail/core/order/OperatorOrder.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
-/** What an operator ordered beside the configuration; kept as an object until it is done. */
+/** An order of an operator outside the configuration; stored as an object until it is done. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
 @JsonSubTypes({
   @JsonSubTypes.Type(value = OperatorOrder.Direct.class, name = "direct"),
@@ -11,22 +11,22 @@
 })
 public sealed interface OperatorOrder {
 
-  /** The service that it is about. */
+  /** Returns the service that the order concerns. */
   String service();
 
   /**
    * An order to one engine.
    *
    * @param service the service of the engine
-   * @param order what to send
+   * @param order the order to send
    */
   record Direct(String service, EngineOrder order) implements OperatorOrder {}
 
   /**
-   * Go on with a service that was paused by a failure.
+   * An order to resume the rollout of a service that was paused by a failure.
    *
-   * @param service which
-   * @param author who ordered it
+   * @param service the service
+   * @param author the operator who gave the order
    */
   record Resume(String service, String author) implements OperatorOrder {}
 }
--- a/core/src/main/java/org/marjoramsail/core/order/OrderNames.java
+++ b/core/src/main/java/org/marjoramsail/core/order/OrderNames.java
@@ -5,10 +5,10 @@
 import org.marjoramsail.core.configuration.UpstreamDefinition;
 
 /**
- * Names the orders of a rollout after the wish that they serve and the try.
+ * Derives the names of a rollout's orders from the desired state and the number of the attempt.
  *
- * <p>The name is the memory of the rollout: a failed order with the name of the present wish and
- * try pauses it, and a resume order or another wish changes the names.
+ * <p>The names carry the state of the rollout: a failed order of the current desired state and
+ * attempt pauses the rollout, and a resume order or another desired state changes the names.
  */
 final class OrderNames {
 
@@ -34,7 +34,10 @@
     return order.startsWith(attemptPrefix(upstream));
   }
 
-  /** Whether an order is the present wish's and try's order of this kind. */
+  /**
+   * Returns whether a reported order is the desired order of the current attempt, apart from its
+   * number.
+   */
   boolean isSameOrder(UpstreamDefinition upstream, EngineOrder desired, String order) {
     String name = desired.order();
     return order.startsWith(attemptPrefix(upstream))
@@ -47,10 +50,11 @@
   }
 
   /**
-   * The number of the next order to an engine, one more than in any order that it remembers.
+   * Returns the number of the next order to an engine: one more than in any order that the engine
+   * reports.
    *
-   * <p>An order that was lost on its way gets the same number again; the same wish at a later time
-   * gets another, so that the engine does not take it for a repeat.
+   * <p>An order that was lost in transit gets the same number again. The same desired state at a
+   * later time gets another number, so that the engine does not handle its order as a duplicate.
    */
   private String nextNumber(UpstreamDefinition upstream) {
     long highest =
--- a/core/src/main/java/org/marjoramsail/core/order/OrderPlanner.java
+++ b/core/src/main/java/org/marjoramsail/core/order/OrderPlanner.java
@@ -13,10 +13,11 @@
 import org.marjoramsail.core.order.OrderStatus.UpstreamStatus;
 
 /**
- * Plans the next orders of one service from what its engines say, and from nothing else.
+ * Plans the next orders of one service from the reported states of its engines.
  *
- * <p>It keeps no state, so a new holder of the lease goes on where the former one stopped: which
- * engines were taken out, and which orders failed, is read from the names of the engines' orders.
+ * <p>The planner is stateless, so a new holder of the lease continues where the former one stopped:
+ * the names of the reported orders show which engines the rollout has drained and which orders have
+ * failed.
  */
 public final class OrderPlanner {
 
@@ -97,9 +98,8 @@
     } else if (!isDrainedByRollout(state)) {
       addStatus(upstream, Step.WAITING_FOR_TURN, "leaving by itself");
     } else if (state.busy() > 0) {
-      // Failure: a role change or a load cuts off the requests that the engine still runs. They
-      // show as broken streams. An engine that says in one report that it leaves and is empty takes
-      // no more, so only such a report lets the change go on.
+      // Guards against a change that interrupts running streams. An engine accepts no more requests
+      // only if the same report says that it is leaving and has no requests.
       addStatus(upstream, Step.DRAINING, "");
     } else if (change.kind().isLoadingWeights()) {
       sendLoad(upstream, change);
@@ -144,7 +144,7 @@
     statuses.add(new UpstreamStatus(upstream.name().value(), step, reason));
   }
 
-  /** The change that brings an engine nearer to the wish; empty when it is as wished. */
+  /** Returns the next change towards the desired state; empty if the engine has that state. */
   private Optional<EngineOrder> nextChange(UpstreamDefinition upstream, EngineState state) {
     if (state.role() != upstream.role()) {
       return Optional.of(names.changeRole(upstream));
@@ -162,9 +162,10 @@
   }
 
   /**
-   * Whether the engine has this change already, and its report of itself is only late.
+   * Returns whether the engine has already received this change, which its reported state may not
+   * show yet.
    *
-   * <p>A load that is running, or is the last that it did, is not ordered again.
+   * <p>The engine's latest order is not sent again unless it has failed.
    */
   private boolean isAlreadyOrdered(
       UpstreamDefinition upstream, EngineState state, EngineOrder change) {
@@ -178,7 +179,10 @@
     return state.orders().stream().reduce((earlier, later) -> later);
   }
 
-  /** Why an order of the present wish failed on an engine; older wishes and tries do not count. */
+  /**
+   * Returns the reason why an order of the current desired state and attempt has failed on an
+   * engine.
+   */
   private Optional<String> failure(UpstreamDefinition upstream) {
     return state(upstream.name())
         .flatMap(OrderPlanner::latestOrder)
@@ -199,7 +203,7 @@
         .isPresent();
   }
 
-  /** How many engines have a role, or how many of them take new work. */
+  /** Returns the number of engines of a role, or only of those that accept new requests. */
   private long count(UpstreamRole role, boolean servingOnly) {
     return snapshot.upstreams().stream()
         .filter(upstream -> roleOf(upstream) == role)
--- a/core/src/main/java/org/marjoramsail/core/order/OrderProgress.java
+++ b/core/src/main/java/org/marjoramsail/core/order/OrderProgress.java
@@ -3,17 +3,17 @@
 import java.util.Optional;
 
 /**
- * How far an engine says that it is with an order.
+ * Progress of an order, as reported by the engine.
  *
- * @param order which
- * @param kind what it does
- * @param state how far
- * @param reason why it failed
+ * @param order name of the order
+ * @param kind kind of the order
+ * @param state state of the order
+ * @param reason reason of a failure
  */
 public record OrderProgress(
     String order, EngineOrderKind kind, State state, Optional<String> reason) {
 
-  /** How far an order is. */
+  /** States of an order. */
   public enum State {
     RUNNING,
     DONE,
--- a/core/src/main/java/org/marjoramsail/core/order/OrderStatus.java
+++ b/core/src/main/java/org/marjoramsail/core/order/OrderStatus.java
@@ -3,32 +3,32 @@
 import java.util.List;
 
 /**
- * Where the orders of one service stand.
+ * Status of the orders of one service.
  *
- * @param service which
- * @param phase the whole of it
- * @param upstreams each engine that is not as wished
+ * @param service the service
+ * @param phase phase of the rollout
+ * @param upstreams status of each engine that is not in its desired state
  */
 public record OrderStatus(String service, Phase phase, List<UpstreamStatus> upstreams) {
 
-  /** Copies the list, so that the value cannot change. */
+  /** Copies the list, so that the record is immutable. */
   public OrderStatus {
     upstreams = List.copyOf(upstreams);
   }
 
-  /** Where a service stands. */
+  /** Phases of the rollout of a service. */
   public enum Phase {
-    /** All engines are as wished. */
+    /** All engines are in their desired states. */
     DONE,
     /** Engines are being changed a few at a time. */
     ROLLING,
-    /** Nothing can go on without emptying a pool, or engines do not answer. */
+    /** The remaining engines are unreachable or the last serving ones of their roles. */
     BLOCKED,
-    /** An order failed; a resume order or another version goes on. */
+    /** An order failed; the rollout continues after a resume order or with another version. */
     PAUSED
   }
 
-  /** What one engine waits for. */
+  /** Steps of the change of one engine. */
   public enum Step {
     WAITING_FOR_TURN,
     LAST_OF_ITS_ROLE,
@@ -40,11 +40,11 @@
   }
 
   /**
-   * One engine that is not as wished.
+   * Status of an engine that is not in its desired state.
    *
-   * @param upstream its name
-   * @param step what it waits for
-   * @param reason what the engine said, where it failed
+   * @param upstream name of the engine
+   * @param step current step of its change
+   * @param reason reason of a failure or of a wait; empty if there is none
    */
   public record UpstreamStatus(String upstream, Step step, String reason) {}
 }
--- a/core/src/main/java/org/marjoramsail/core/order/ServiceSnapshot.java
+++ b/core/src/main/java/org/marjoramsail/core/order/ServiceSnapshot.java
@@ -8,15 +8,15 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * All that the next orders of one service depend on.
+ * Configuration and reported state of one service, from which its next orders are planned.
  *
- * @param service its name
- * @param model what its engines should have loaded
+ * @param service name of the service
+ * @param model the model that its engines should have loaded
  * @param upstreams its engines, as configured
- * @param states what each engine said after the last order to it; absent where it did not answer
- * @param inFlight engines with an order that was sent and not yet seen in their state
- * @param operatorOrders what operators ordered for it, by name
- * @param freeWeightLoads how many loads may begin now
+ * @param states the state that each engine reported; absent for engines that did not respond
+ * @param inFlight engines with an order that was sent and that their states do not reflect yet
+ * @param operatorOrders operators' orders for the service, by name
+ * @param freeWeightLoads number of weight loads that may start now
  */
 public record ServiceSnapshot(
     String service,
@@ -27,7 +27,7 @@
     Map<String, OperatorOrder> operatorOrders,
     int freeWeightLoads) {
 
-  /** Copies the collections, so that the value cannot change. */
+  /** Copies the collections, so that the record is immutable. */
   public ServiceSnapshot {
     upstreams = List.copyOf(upstreams);
     states = Map.copyOf(states);
--- a/core/src/main/java/org/marjoramsail/core/order/package-info.java
+++ b/core/src/main/java/org/marjoramsail/core/order/package-info.java
@@ -1,2 +1,2 @@
-/** Orders to engines: who may send them, which come next, and when not to. */
+/** Orders to engines: the lease that permits sending them, and the planning of the next ones. */
 package org.marjoramsail.core.order;
--- a/core/src/test/java/org/marjoramsail/core/claim/ClaimFleet.java
+++ b/core/src/test/java/org/marjoramsail/core/claim/ClaimFleet.java
@@ -19,7 +19,7 @@
   private static final long CLAIM_WITHIN_MILLIS = 1_500;
   private static final int DAEMON_COUNT = 3;
 
-  /** What happens to a message or to a call of the store. */
+  /** Outcome of the delivery of a message or of a call of the store. */
   enum DeliveryOutcome {
     DELIVERED,
     LOST,
--- a/core/src/test/java/org/marjoramsail/core/order/LeaseHistory.java
+++ b/core/src/test/java/org/marjoramsail/core/order/LeaseHistory.java
@@ -9,16 +9,17 @@
 import org.marjoramsail.core.time.SuspensionWatch;
 
 /**
- * One random history of a lease: three holders with clocks of their own, a store that fails, and
- * two engines, one of which ignores fencing tokens. The oracle is the order in which engines act.
+ * Simulation of one random history of a lease: three holders with separate clocks, a store that
+ * fails, and two engines, one of which ignores fencing tokens. It records the tokens under which
+ * each engine executes orders.
  */
 final class LeaseHistory {
 
   private static final int HOLDERS = 3;
 
   /**
-   * One daemon; its clock runs at a rate of its own, and it does nothing while it pauses. The clock
-   * of a host that is suspended stands still with it.
+   * One daemon, which has its own clock rate and does nothing while it pauses. The clock of a
+   * suspended host stops.
    */
   private final class Holder {
     final LeaseKeeper keeper;
@@ -60,15 +61,15 @@
   private long outageUntil;
   private int changesOfHolder;
 
-  /** A history in which hosts pause, and their clocks go on. */
+  /** Creates a history in which hosts pause and their clocks continue. */
   LeaseHistory() {
     this(LeaseTimes.standard(), false);
   }
 
   /**
-   * A history with other times.
+   * Creates a history with the given times.
    *
-   * @param suspending whether hosts are suspended with their clocks, rather than paused
+   * @param suspending whether the clocks of pausing hosts stop
    */
   LeaseHistory(LeaseTimes times, boolean suspending) {
     this.suspending = suspending;
@@ -79,7 +80,7 @@
     executedTokens.put(false, new ArrayList<>());
   }
 
-  /** The tokens under which an engine has acted, in order. */
+  /** Returns the tokens of the orders that an engine has executed, in sequence. */
   List<Long> tokens(boolean fenced) {
     return executedTokens.get(fenced);
   }
@@ -126,7 +127,7 @@
     }
   }
 
-  /** Lets all orders that are under way arrive. */
+  /** Lets all orders in flight arrive. */
   void finish() {
     advance(LeaseKeeper.MAXIMUM_IN_FLIGHT_MILLIS, 0);
   }
--- a/core/src/test/java/org/marjoramsail/core/order/LeaseHistoryTest.java
+++ b/core/src/test/java/org/marjoramsail/core/order/LeaseHistoryTest.java
@@ -13,9 +13,9 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * Random histories of leases.
+ * Tests random histories of leases.
  *
- * <p>Each try runs as many histories as the system property {@code marjoramsail.histories} says.
+ * <p>The system property {@code marjoramsail.histories} sets the number of histories in each try.
  */
 final class LeaseHistoryTest {
 
@@ -36,7 +36,7 @@
     }
   }
 
-  /** The times of leases on the platform, hosts that stand still with their clocks. */
+  /** Uses the lease times of the platform and hosts whose clocks stop while they are suspended. */
   @Property(seed = "63", tries = 500)
   void noEngineActsForAFormerHolderWhereHostsAreSuspendedAndLeasesAreShort(
       @ForAll @Size(min = 100, max = 400)
@@ -51,8 +51,8 @@
 
   @Test
   void aHolderThatResumesAfterALongPauseSendsNothing() {
-    // A daemon holds the lease and its process stands still for two minutes. Another takes over.
-    // The first wakes in the middle of its round, believing that it still holds the lease.
+    // Guards against a former holder that was paused, resumes after another daemon has acquired the
+    // lease, and still sends orders.
     LeaseKeeper keeper = new LeaseKeeper(new DaemonId("entry-1", 1), 0);
     keeper.tick(true, 0);
     keeper.read(Optional.empty(), "", 10);
@@ -66,7 +66,7 @@
     assertThat(keeper.mayAct(true, 120_000)).isFalse();
   }
 
-  /** Spreads a choice evenly, since the generator prefers small numbers. */
+  /** Distributes a choice evenly, since the generator prefers small numbers. */
   private static int spread(int choice, int salt) {
     return new SplittableRandom(choice * 31L + salt).nextInt(10_000_000);
   }
--- a/core/src/test/java/org/marjoramsail/core/order/LeaseTimesTest.java
+++ b/core/src/test/java/org/marjoramsail/core/order/LeaseTimesTest.java
@@ -12,8 +12,8 @@
   }
 
   /**
-   * A platform asked that holders of orders are 20 s apart. A successor that waited out only the
-   * usual 12 s would have given orders while those of the holder before it still counted.
+   * Guards against a successor that sends orders before the minimum duration required by the
+   * platform has passed, while orders of the former holder are still valid.
    */
   @Test
   void aLeaseLastsAsLongAsThePlatformRequires() {
--- a/core/src/test/java/org/marjoramsail/core/order/OrderPlannerTest.java
+++ b/core/src/test/java/org/marjoramsail/core/order/OrderPlannerTest.java
@@ -26,7 +26,7 @@
   private static final ModelDefinition V2 =
       new ModelDefinition("lector-8b", "v2", List.of("clerk"), 1_000);
 
-  /** An engine that carries out orders, and that a test can keep busy or let fail. */
+  /** A fake engine that executes orders and can be kept busy or made to fail. */
   private static final class Engine {
     final UpstreamDefinition definition;
     final List<OrderProgress> orders = new ArrayList<>();
@@ -197,8 +197,8 @@
 
   @Test
   void aFailedLoadPausesTheRolloutUntilTheOldVersionIsConfiguredOrItIsResumed() {
-    // A new version does not load on the first engine. Were the rollout to go on, engine after
-    // engine would be taken out, and the pool would be empty in the end.
+    // Guards against a rollout that drains one engine after the other although the new version
+    // does not load.
     pool(4, UpstreamRole.DECODE);
     round(V2);
     Engine first = engines.get(0);
--- a/core/src/test/java/org/marjoramsail/core/order/RestoredLeaseTest.java
+++ b/core/src/test/java/org/marjoramsail/core/order/RestoredLeaseTest.java
@@ -8,8 +8,8 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * The store came back from a copy made before a host took the lease. Another host read there that
- * nobody has it and took it at once, under the fencing token that the first one acted with.
+ * Guards against two holders with the same fencing token after the store was restored from a backup
+ * that was made before the present holder acquired the lease.
  */
 class RestoredLeaseTest {
 
@@ -50,7 +50,7 @@
     assertThat(second.token()).isGreaterThan(tokenBefore);
   }
 
-  /** The holder is cut off, and cannot hear that what it renewed is gone. */
+  /** The holder is disconnected and does not observe that the restore has removed its lease. */
   @Test
   void aSuccessorWaitsUntilTheLeaseOfTheEarlierEpochHasExpired() {
     acquireLease(first);
@@ -62,7 +62,7 @@
     assertThat(first.mayAct(true, now)).isFalse();
   }
 
-  /** Its own name stands in the copy, but others may have held the lease since. */
+  /** The backup names the holder, but others may have held the lease after the backup. */
   @Test
   void aHolderRecordedInTheBackupAcquiresTheLeaseAgain() {
     acquireLease(first);
--- a/core/src/test/java/org/marjoramsail/core/order/SuspendedHolderTest.java
+++ b/core/src/test/java/org/marjoramsail/core/order/SuspendedHolderTest.java
@@ -11,16 +11,15 @@
 import org.marjoramsail.core.time.SuspensionWatch;
 
 /**
- * An operator saw an engine take orders from two daemons in turns. The host of the first had stood
- * still, clock and all, while the second took the lease; woken up, the first believed that it had
- * seconds left, and the engine does not look at fencing tokens.
+ * Guards against a holder whose host was suspended with its clock while another daemon acquired the
+ * lease, and which then still sends orders to an engine that ignores fencing tokens.
  */
 class SuspendedHolderTest {
 
   private static final boolean UNFENCED = false;
   private static final long STEP_MILLIS = 200;
 
-  /** A lease in the store, which both daemons call without loss. */
+  /** The lease in the store; no call of the store is lost. */
   private Optional<LeaseRecord> stored = Optional.empty();
 
   private int version;
@@ -87,7 +86,7 @@
     assertThat(orders).contains(1L, 2L);
   }
 
-  /** The clocks of a host drift by a few milliseconds; its holder goes on. */
+  /** Guards against a small clock drift that is handled as a suspension. */
   @Test
   void aHolderWhoseClocksDriftSlightlyContinuesToSendOrders() {
     ManualClock wall = new ManualClock(1_000_000);
