--- a/core/src/main/java/org/marjoramsail/core/order/OrderPlanner.java
+++ b/core/src/main/java/org/marjoramsail/core/order/OrderPlanner.java
@@ -279,12 +279,12 @@
     if (statuses.isEmpty()) {
       return Phase.DONE;
     }
-    boolean stuck =
+    boolean blocked =
         statuses.stream()
             .allMatch(
                 status ->
                     status.step() == Step.LAST_OF_ITS_ROLE || status.step() == Step.UNREACHABLE);
-    return stuck ? Phase.BLOCKED : Phase.ROLLING;
+    return blocked ? Phase.BLOCKED : Phase.ROLLING;
   }
 
   private void finishResumes() {
