--- a/daemon/src/main/java/org/marjoramsail/daemon/assembly/PlacementParts.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/assembly/PlacementParts.java
@@ -20,7 +20,7 @@
 import org.marjoramsail.core.placement.ShardId;
 import org.marjoramsail.daemon.placement.ConfiguredShards;
 import org.marjoramsail.daemon.placement.DistributedPlacement;
-import org.marjoramsail.daemon.timing.PacedTimer;
+import org.marjoramsail.daemon.timing.AdaptiveTimer;
 import org.marjoramsail.daemon.upstream.CacheEventList;
 import org.marjoramsail.daemon.upstream.CacheEventPoller;
 import org.marjoramsail.daemon.upstream.UpstreamDirectory;
@@ -51,7 +51,7 @@
   private final Map<UpstreamName, Integer> polls = new ConcurrentHashMap<>();
   private final Set<UpstreamName> out = ConcurrentHashMap.newKeySet();
   private final List<Long> timers = new ArrayList<>();
-  private final PacedTimer ownerTicks;
+  private final AdaptiveTimer ownerTicks;
   private volatile Set<PeerAddress> leaving = Set.of();
 
   PlacementParts(
@@ -67,7 +67,7 @@
     this.directory = directory;
     this.caches = caches;
     this.ownerTicks =
-        new PacedTimer(
+        new AdaptiveTimer(
             vertx,
             OWNER_TICK_MILLIS,
             OWNER_REST_MILLIS,
--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/PeerClaimService.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/PeerClaimService.java
@@ -32,7 +32,7 @@
 import org.marjoramsail.core.model.DaemonId;
 import org.marjoramsail.core.time.Clock;
 import org.marjoramsail.daemon.platform.ObjectApi;
-import org.marjoramsail.daemon.timing.PacedTimer;
+import org.marjoramsail.daemon.timing.AdaptiveTimer;
 
 /**
  * Claims by way of the daemon that batches the segment of a key.
@@ -65,7 +65,7 @@
   private final Map<ClaimKey, Claim> granted = new ConcurrentHashMap<>();
   private final AtomicLong sequence = new AtomicLong();
   private volatile List<DaemonId> owners = List.of();
-  private final PacedTimer ticks;
+  private final AdaptiveTimer ticks;
   private long ownerTimer;
 
   /**
@@ -90,7 +90,7 @@
     this.clock = clock;
     this.meters = meters;
     this.ticks =
-        new PacedTimer(
+        new AdaptiveTimer(
             vertx, TICK_MILLIS, REST_MILLIS, this::isBusy, () -> shards.forEach(this::tick));
     for (int segment = 0; segment < settings.segments(); segment++) {
       SegmentStore store = new SegmentStore(api, meters, segment);
--- a/daemon/src/main/java/org/marjoramsail/daemon/membership/MembershipService.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/membership/MembershipService.java
@@ -33,7 +33,7 @@
 import org.marjoramsail.core.time.Clock;
 import org.marjoramsail.daemon.peer.PeerNetwork;
 import org.marjoramsail.daemon.peer.PeerSettings;
-import org.marjoramsail.daemon.timing.PacedTimer;
+import org.marjoramsail.daemon.timing.AdaptiveTimer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -73,7 +73,7 @@
   private Optional<MembershipProtocol> protocol = Optional.empty();
   private boolean superseded;
   private volatile MembershipView view;
-  private final PacedTimer ticks;
+  private final AdaptiveTimer ticks;
 
   /**
    * Creates an instance with all that it works with; nothing happens before {@link #start}.
@@ -102,7 +102,7 @@
     this.clock = clock;
     this.random = random;
     this.view = alone(peerSettings);
-    this.ticks = new PacedTimer(vertx, this::pauseMillis, this::tick);
+    this.ticks = new AdaptiveTimer(vertx, this::pauseMillis, this::tick);
     MembershipMeters.register(registry, this::view, this::statistics);
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/timing/PacedTimer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/timing/AdaptiveTimer.java
@@ -10,10 +10,10 @@
  * <p>At rest a daemon's timers were most of its control cost. Work that arrives at rest waits for
  * at most the pause at rest until the first call, unless its arrival is told with {@link #wake}.
  */
-public final class PacedTimer {
+public final class AdaptiveTimer {
 
   private final Vertx vertx;
-  private final LongSupplier pauseMillis;
+  private final LongSupplier intervalMillis;
   private final Runnable task;
   private long timer;
   private long pendingMillis = Long.MAX_VALUE;
@@ -23,44 +23,44 @@
    * Creates a timer with one pause while there is work and another at rest.
    *
    * @param busyMillis pause between two calls while there is work; at least one
-   * @param restMillis pause while there is none
+   * @param idleMillis pause while there is none
    * @param busy asked after each call
    * @param task what to call, on an event loop
    */
-  public PacedTimer(
-      Vertx vertx, long busyMillis, long restMillis, BooleanSupplier busy, Runnable task) {
-    this(vertx, () -> busy.getAsBoolean() ? busyMillis : restMillis, task);
+  public AdaptiveTimer(
+      Vertx vertx, long busyMillis, long idleMillis, BooleanSupplier busy, Runnable task) {
+    this(vertx, () -> busy.getAsBoolean() ? busyMillis : idleMillis, task);
   }
 
   /**
    * Creates a timer that calls nothing yet.
    *
-   * @param pauseMillis the pause until the next call, in milliseconds, at least one; asked after
+   * @param intervalMillis the pause until the next call, in milliseconds, at least one; asked after
    *     each call and when work arrives
    * @param task what to call, on an event loop
    */
-  public PacedTimer(Vertx vertx, LongSupplier pauseMillis, Runnable task) {
+  public AdaptiveTimer(Vertx vertx, LongSupplier intervalMillis, Runnable task) {
     this.vertx = vertx;
-    this.pauseMillis = pauseMillis;
+    this.intervalMillis = intervalMillis;
     this.task = task;
   }
 
   /** Begins to call, and goes on until stopped. */
   public void start() {
-    schedule(pauseMillis.getAsLong());
+    schedule(intervalMillis.getAsLong());
   }
 
   /** Brings the next call forward if work has arrived for which the pending pause is too long. */
   public void wake() {
-    long wantedMillis = pauseMillis.getAsLong();
+    long requiredMillis = intervalMillis.getAsLong();
     synchronized (this) {
       boolean isStarted = pendingMillis != Long.MAX_VALUE;
-      if (!isStarted || wantedMillis >= pendingMillis) {
+      if (!isStarted || requiredMillis >= pendingMillis) {
         return;
       }
       vertx.cancelTimer(timer);
     }
-    schedule(wantedMillis);
+    schedule(requiredMillis);
   }
 
   /** Calls no more. */
@@ -84,7 +84,7 @@
       task.run();
     } finally {
       // A task that throws once must not end the timer: whatever waits would wait for ever.
-      schedule(pauseMillis.getAsLong());
+      schedule(intervalMillis.getAsLong());
     }
   }
 
--- a/daemon/src/test/java/org/marjoramsail/daemon/timing/PacedTimerTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/timing/AdaptiveTimerTest.java
@@ -9,25 +9,25 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-final class PacedTimerTest {
+final class AdaptiveTimerTest {
 
-  private static final long HANG_SECONDS = 30;
+  private static final long TIMEOUT_SECONDS = 30;
   private static final int CALLS = 5;
 
   private final Vertx vertx = Vertx.vertx();
 
   @AfterEach
   void close() throws Exception {
-    vertx.close().toCompletionStage().toCompletableFuture().get(HANG_SECONDS, TimeUnit.SECONDS);
+    vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   // A user's request waits for ever in a queue that nobody serves. In order: one call of the ticks
   // throws, no further one is planned. Cause: the next call was planned only after a good end.
   @Test
-  void aCallThatThrowsDoesNotEndTheCalls() throws Exception {
+  void aTaskThatThrowsIsCalledAgain() throws Exception {
     CountDownLatch calls = new CountDownLatch(CALLS);
-    PacedTimer timer =
-        new PacedTimer(
+    AdaptiveTimer timer =
+        new AdaptiveTimer(
             vertx,
             1,
             1,
@@ -38,49 +38,49 @@
             });
     timer.start();
 
-    assertThat(calls.await(HANG_SECONDS, TimeUnit.SECONDS)).isTrue();
+    assertThat(calls.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
     timer.stop();
   }
 
   @Test
-  void whileThereIsWorkThePauseAtRestIsNotWaitedFor() throws Exception {
+  void theIdleIntervalIsNotUsedWhileThereIsWork() throws Exception {
     CountDownLatch calls = new CountDownLatch(CALLS);
-    PacedTimer timer =
-        new PacedTimer(
+    AdaptiveTimer timer =
+        new AdaptiveTimer(
             vertx, 1, TimeUnit.HOURS.toMillis(1), () -> calls.getCount() > 0, calls::countDown);
     timer.start();
 
-    assertThat(calls.await(HANG_SECONDS, TimeUnit.SECONDS)).isTrue();
+    assertThat(calls.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
     timer.stop();
   }
 
   // A request is answered an hour late. In order: the timer rests, a request arrives. Cause: the
   // pause at rest was waited for although the arrival was told.
   @Test
-  void workThatIsToldIsNotLeftUntilTheEndOfTheRest() throws Exception {
+  void wakingAnIdleTimerShortensThePendingInterval() throws Exception {
     CountDownLatch calls = new CountDownLatch(CALLS);
     AtomicBoolean busy = new AtomicBoolean();
-    PacedTimer timer =
-        new PacedTimer(vertx, 1, TimeUnit.HOURS.toMillis(1), busy::get, calls::countDown);
+    AdaptiveTimer timer =
+        new AdaptiveTimer(vertx, 1, TimeUnit.HOURS.toMillis(1), busy::get, calls::countDown);
     timer.start();
 
     busy.set(true);
     timer.wake();
 
-    assertThat(calls.await(HANG_SECONDS, TimeUnit.SECONDS)).isTrue();
+    assertThat(calls.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
     timer.stop();
   }
 
   @Test
-  void aTimerThatHasNotBegunIsNotBegunByWork() throws Exception {
+  void wakingATimerThatIsNotStartedCallsNothing() throws Exception {
     CountDownLatch calls = new CountDownLatch(1);
-    PacedTimer timer = new PacedTimer(vertx, 1, 1, () -> true, calls::countDown);
+    AdaptiveTimer timer = new AdaptiveTimer(vertx, 1, 1, () -> true, calls::countDown);
 
     timer.wake();
     CountDownLatch later = new CountDownLatch(1);
     vertx.setTimer(CALLS, id -> later.countDown());
 
-    assertThat(later.await(HANG_SECONDS, TimeUnit.SECONDS)).isTrue();
+    assertThat(later.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
     assertThat(calls.getCount()).isEqualTo(1);
   }
 }
