--- a/daemon/src/main/java/org/marjoramsail/daemon/assembly/DaemonRuntime.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/assembly/DaemonRuntime.java
@@ -195,7 +195,7 @@
   /** Starts all parts; done once callers are served. */
   public Future<DaemonRuntime> start() {
     PeerMessageHandler placements =
-        (from, message) -> placement.heard(from, (PlacementMessage) message);
+        (from, message) -> placement.receive(from, (PlacementMessage) message);
     PeerMessageType.ofFamily(PlacementMessage.class)
         .forEach(type -> network.register(type, placements));
     network.register(
@@ -203,7 +203,7 @@
         (from, message) -> quarantine.handle((CrashReportMessage) message, clock.millis()));
     network.register(
         OrganisationUsageMessage.class,
-        (from, message) -> placement.heardUsage((OrganisationUsageMessage) message));
+        (from, message) -> placement.receiveUsage((OrganisationUsageMessage) message));
     registerPackage(Configuration.class, configuration);
     registerPackage(ClaimMessage.class, claims);
     registerPackage(OperatorQueryMessage.class, operators::heard);
@@ -392,7 +392,7 @@
   }
 
   private void membersChanged(MembershipView view) {
-    placement.members(view);
+    placement.updateMembership(view);
     Set<DaemonId> now = new HashSet<>();
     Set<DaemonId> dead = new HashSet<>();
     for (Member member : view.members()) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/assembly/PlacementParts.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/assembly/PlacementParts.java
@@ -71,7 +71,7 @@
             vertx,
             OWNER_TICK_MILLIS,
             OWNER_REST_MILLIS,
-            placement::isDeciding,
+            placement::hasWaitingRequests,
             placement::tickOwned);
   }
 
@@ -155,13 +155,15 @@
 
   private void cached(CacheEventPoller.CacheChange change) {
     if (change.restarted()) {
-      placement.cached(new CacheEvent(change.upstream(), CacheEvent.Kind.CLEARED, 0));
+      placement.receiveCacheEvent(new CacheEvent(change.upstream(), CacheEvent.Kind.CLEARED, 0));
       return;
     }
     for (CacheEventList.CacheEvent event : change.list().events()) {
       kindOf(event)
           .ifPresent(
-              kind -> placement.cached(new CacheEvent(change.upstream(), kind, event.hash())));
+              kind ->
+                  placement.receiveCacheEvent(
+                      new CacheEvent(change.upstream(), kind, event.hash())));
     }
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/assembly/RuntimeState.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/assembly/RuntimeState.java
@@ -71,7 +71,7 @@
 
   @Override
   public List<ShardView> shards() {
-    return placement.viewsWithIdle();
+    return placement.viewsWithIdleShards();
   }
 
   @Override
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/ConfiguredShards.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/ConfiguredShards.java
@@ -25,16 +25,16 @@
 import org.marjoramsail.core.time.Clock;
 
 /** Shards as the newest configuration and the newest view of the daemons make them. */
-public final class ConfiguredShards implements ShardChoice {
+public final class ConfiguredShards implements ShardTopology {
 
   /** How many daemons an entry tries before it decides for itself. */
-  private static final int RANKS = 3;
+  private static final int MAXIMUM_OWNERS = 3;
 
   /** What follows from one configuration. */
-  private record Sliced(
+  private record ConfigurationIndex(
       Configuration configuration, ShardMap map, Map<UpstreamName, ShardId> shardOf) {
 
-    static Sliced of(Configuration configuration) {
+    static ConfigurationIndex of(Configuration configuration) {
       ShardMap map = new ShardMap(configuration);
       Map<UpstreamName, ShardId> shardOf = new HashMap<>();
       for (ShardId shard : map.shards()) {
@@ -42,21 +42,21 @@
           shardOf.put(upstream.name(), shard);
         }
       }
-      return new Sliced(configuration, map, shardOf);
+      return new ConfigurationIndex(configuration, map, shardOf);
     }
   }
 
   /** What follows from one view of the daemons; owners are worked out once for each shard. */
-  private record Seen(
+  private record MembershipIndex(
       MembershipView view, Map<DaemonId, String> zones, Map<ShardId, List<DaemonId>> owners) {
 
-    static Seen of(MembershipView view) {
+    static MembershipIndex of(MembershipView view) {
       Map<DaemonId, String> zones =
           view.members().stream()
               .collect(
                   Collectors.toMap(
                       Member::id, Member::availabilityZone, (first, second) -> second));
-      return new Seen(view, zones, new ConcurrentHashMap<>());
+      return new MembershipIndex(view, zones, new ConcurrentHashMap<>());
     }
   }
 
@@ -65,8 +65,9 @@
   private final PlacementSettings settings;
   private final RandomGenerator random;
   private final Clock clock;
-  private volatile Sliced sliced = Sliced.of(Configuration.empty());
-  private volatile Seen seen;
+  private volatile ConfigurationIndex configurationIndex =
+      ConfigurationIndex.of(Configuration.empty());
+  private volatile MembershipIndex membershipIndex;
 
   /**
    * Starts with no shards and no daemon but this one.
@@ -88,24 +89,24 @@
     this.settings = settings;
     this.random = random;
     this.clock = clock;
-    this.seen = Seen.of(new MembershipView(self, List.of(self)));
+    this.membershipIndex = MembershipIndex.of(new MembershipView(self, List.of(self)));
   }
 
   @Override
   public Optional<ShardId> shardFor(PlacementRequest request) {
-    ShardMap map = sliced.map();
-    Optional<ShardId> near = map.shardFor(request, self.region(), shard -> 0);
-    return near.or(() -> elsewhere(map, request));
+    ShardMap map = configurationIndex.map();
+    Optional<ShardId> localShard = map.shardFor(request, self.region(), shard -> 0);
+    return localShard.or(() -> shardInOtherRegion(map, request));
   }
 
   @Override
   public Optional<ShardId> shardOf(UpstreamName upstream) {
-    return Optional.ofNullable(sliced.shardOf().get(upstream));
+    return Optional.ofNullable(configurationIndex.shardOf().get(upstream));
   }
 
   @Override
   public List<ShardId> shards() {
-    return sliced.map().shards().stream()
+    return configurationIndex.map().shards().stream()
         .filter(shard -> shard.region().equals(self.region()))
         .toList();
   }
@@ -115,19 +116,19 @@
     if (!policy.isSharedOwner()) {
       return List.of(self.id());
     }
-    Seen current = seen;
-    return current.owners().computeIfAbsent(shard, key -> ranked(key, current.view()));
+    MembershipIndex current = membershipIndex;
+    return current.owners().computeIfAbsent(shard, key -> rankOwners(key, current.view()));
   }
 
   @Override
   public Placer placerFor(ShardId shard) {
-    Seen current = seen;
+    MembershipIndex current = membershipIndex;
     PlacerSetup setup =
         new PlacerSetup(
             shard,
-            sliced.configuration(),
+            configurationIndex.configuration(),
             settings,
-            daemon -> Optional.ofNullable(seen.zones().get(daemon)),
+            daemon -> Optional.ofNullable(membershipIndex.zones().get(daemon)),
             random,
             policy.isSharedOwner() && current.view().members().size() > 1);
     Placer placer = policy.create(setup, clock.millis());
@@ -139,20 +140,20 @@
 
   @Override
   public List<UpstreamDefinition> upstreamsOf(ShardId shard) {
-    return sliced.map().upstreamsOf(shard);
+    return configurationIndex.map().upstreamsOf(shard);
   }
 
   @Override
   public void configure(Configuration configuration) {
-    sliced = Sliced.of(configuration);
+    configurationIndex = ConfigurationIndex.of(configuration);
   }
 
   @Override
-  public void members(MembershipView view) {
-    seen = Seen.of(view);
+  public void updateMembership(MembershipView view) {
+    membershipIndex = MembershipIndex.of(view);
   }
 
-  private static Optional<ShardId> elsewhere(ShardMap map, PlacementRequest request) {
+  private static Optional<ShardId> shardInOtherRegion(ShardMap map, PlacementRequest request) {
     return map.shards().stream()
         .filter(shard -> shard.service().equals(request.service()))
         .map(ShardId::region)
@@ -161,10 +162,10 @@
         .flatMap(region -> map.shardFor(request, region, shard -> 0));
   }
 
-  private List<DaemonId> ranked(ShardId shard, MembershipView view) {
+  private List<DaemonId> rankOwners(ShardId shard, MembershipView view) {
     List<DaemonId> owners =
         ShardMap.ranking(shard, view)
-            .limit(RANKS)
+            .limit(MAXIMUM_OWNERS)
             .map(Member::id)
             .collect(Collectors.toCollection(ArrayList::new));
     if (!owners.contains(self.id())) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/DistributedPlacement.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/DistributedPlacement.java
@@ -52,7 +52,7 @@
 public final class DistributedPlacement implements PlacementService {
 
   private final DaemonId self;
-  private final ShardChoice choice;
+  private final ShardTopology topology;
   private final PeerTransport transport;
   private final Clock clock;
   private final MeterRegistry meters;
@@ -69,35 +69,35 @@
    * Creates the placement of one daemon.
    *
    * @param self its run
-   * @param choice how requests and upstreams belong to shards
+   * @param topology how requests and upstreams belong to shards
    * @param transport the way to other daemons
    * @param timings how long entries and owners wait for each other
    * @param clock the time
    * @param meters counts messages and grants
-   * @param conditions what upstreams said of themselves to this daemon
+   * @param feedback what upstreams said of themselves to this daemon
    */
   public DistributedPlacement(
       DaemonId self,
-      ShardChoice choice,
+      ShardTopology topology,
       PeerTransport transport,
       PlacementTimings timings,
       Clock clock,
       MeterRegistry meters,
-      UpstreamFeedbackTable conditions) {
+      UpstreamFeedbackTable feedback) {
     this.self = self;
-    this.choice = choice;
+    this.topology = topology;
     this.transport = transport;
     this.clock = clock;
     this.meters = meters;
-    this.entry = new EntryPlacement(self, timings, choice, conditions);
+    this.entry = new EntryPlacement(self, timings, topology, feedback);
     this.owned =
         new OwnedShards(
-            self, choice, timings, clock, outgoing -> send(outgoing.to(), outgoing.message()));
+            self, topology, timings, clock, outgoing -> send(outgoing.to(), outgoing.message()));
   }
 
   @Override
   public void place(PlacementRequest request, Consumer<PlacementResult> result) {
-    Optional<ShardId> shard = choice.shardFor(request);
+    Optional<ShardId> shard = topology.shardFor(request);
     if (shard.isEmpty()) {
       Refusal refusal =
           Refusal.notRun(
@@ -113,7 +113,7 @@
     synchronized (entryLock) {
       actions = entry.place(request, shard.get(), clock.millis());
     }
-    act(actions);
+    execute(actions);
     workListener.run();
   }
 
@@ -123,7 +123,7 @@
     synchronized (entryLock) {
       actions = entry.report(report, clock.millis());
     }
-    act(actions);
+    execute(actions);
   }
 
   @Override
@@ -133,11 +133,11 @@
     synchronized (entryLock) {
       actions = entry.withdraw(request);
     }
-    act(actions);
+    execute(actions);
   }
 
   /** Handles a message of another daemon. */
-  public void heard(DaemonId from, PlacementMessage message) {
+  public void receive(DaemonId from, PlacementMessage message) {
     if (isForOwner(message)) {
       owned.handle(from, message);
       workListener.run();
@@ -147,68 +147,68 @@
     synchronized (entryLock) {
       actions = entry.handle(from, message, clock.millis());
     }
-    act(actions);
+    execute(actions);
   }
 
-  /** Records that the connection to a daemon is gone. */
+  /** Records that the connection to a daemon is failed. */
   public void connectionLost(DaemonId daemon) {
     List<EntryAction> actions;
     synchronized (entryLock) {
       actions = entry.ownerDisconnected(daemon, clock.millis());
     }
-    act(actions);
+    execute(actions);
   }
 
   /** Handles a newer view of the daemons; what a dead one had here is dropped. */
-  public void members(MembershipView view) {
-    choice.members(view);
-    Set<DaemonId> now = new HashSet<>();
+  public void updateMembership(MembershipView view) {
+    topology.updateMembership(view);
+    Set<DaemonId> reachableNow = new HashSet<>();
     for (Member member : view.members()) {
       if (member.state().isReachable()) {
-        now.add(member.id());
+        reachableNow.add(member.id());
       }
     }
-    Set<DaemonId> gone;
-    Set<DaemonId> back = new HashSet<>(now);
+    Set<DaemonId> failed;
+    Set<DaemonId> recovered = new HashSet<>(reachableNow);
     synchronized (entryLock) {
-      gone = new HashSet<>(reachable);
-      gone.removeAll(now);
-      back.removeAll(reachable);
-      reachable = now;
+      failed = new HashSet<>(reachable);
+      failed.removeAll(reachableNow);
+      recovered.removeAll(reachable);
+      reachable = reachableNow;
     }
     double share = view.budgetShare();
-    informSharing((sharing, millis) -> sharing.fleetShare(share, millis));
-    gone.forEach(owned::daemonFailed);
-    back.forEach(owned::daemonRecovered);
+    applyToUsageSharing((sharing, millis) -> sharing.fleetShare(share, millis));
+    failed.forEach(owned::daemonFailed);
+    recovered.forEach(owned::daemonRecovered);
     tickEntry();
   }
 
   /** Applies a newer configuration. */
   public void configure(Configuration configuration) {
-    choice.configure(configuration);
-    owned.informAll((placer, now) -> placer.configure(configuration, now));
+    topology.configure(configuration);
+    owned.applyToAll((placer, now) -> placer.configure(configuration, now));
     tickEntry();
   }
 
   /** Handles what an upstream says of its load. */
   public void load(LoadReport report) {
     latestLoads.put(report.upstream(), report);
-    inform(report.upstream(), (placer, now) -> placer.load(report, now));
+    apply(report.upstream(), (placer, now) -> placer.load(report, now));
   }
 
-  /** Records that an upstream is leaving or unreachable, or is back. */
+  /** Records that an upstream is leaving or unreachable, or is recovered. */
   public void availability(UpstreamName upstream, boolean available) {
     if (available) {
       unavailable.remove(upstream);
     } else {
       unavailable.add(upstream);
     }
-    inform(upstream, (placer, now) -> placer.availability(upstream, available, now));
+    apply(upstream, (placer, now) -> placer.availability(upstream, available, now));
   }
 
   /** Handles what an upstream says of its prefix cache; policies without an index ignore it. */
-  public void cached(CacheEvent event) {
-    inform(
+  public void receiveCacheEvent(CacheEvent event) {
+    apply(
         event.upstream(),
         (placer, now) -> {
           if (placer instanceof CacheObserver observer) {
@@ -219,11 +219,11 @@
   }
 
   /** Tells a fact about an upstream to the shard that it belongs to, if that is decided here. */
-  public void inform(UpstreamName upstream, PlacerEvent event) {
-    choice
+  public void apply(UpstreamName upstream, PlacerEvent event) {
+    topology
         .shardOf(upstream)
         .filter(shard -> owned.ids().contains(shard) || isFirstOwner(shard))
-        .ifPresent(shard -> owned.inform(shard, event));
+        .ifPresent(shard -> owned.apply(shard, event));
   }
 
   /** Does what time has made due on the owner's side; called every few milliseconds. */
@@ -232,8 +232,8 @@
   }
 
   /** Whether a request waits in a shard that is decided here. */
-  public boolean isDeciding() {
-    return owned.isBusy();
+  public boolean hasWaitingRequests() {
+    return owned.hasWaitingRequests();
   }
 
   /** Whether any shard is decided here. */
@@ -259,7 +259,7 @@
     synchronized (entryLock) {
       actions = entry.tick(clock.millis());
     }
-    act(actions);
+    execute(actions);
   }
 
   /**
@@ -267,15 +267,15 @@
    * shards; called some times a second, and most calls send nothing.
    */
   public void shareUsage() {
-    List<OrganisationUsageMessage> usages = owned.usages();
-    if (usages.isEmpty()) {
+    List<OrganisationUsageMessage> usageMessages = owned.usageMessages();
+    if (usageMessages.isEmpty()) {
       return;
     }
     Set<DaemonId> owners = new HashSet<>();
-    for (ShardId shard : choice.shards()) {
-      owners.add(choice.owners(shard).get(0));
+    for (ShardId shard : topology.shards()) {
+      owners.add(topology.owners(shard).get(0));
     }
-    for (OrganisationUsageMessage usage : usages) {
+    for (OrganisationUsageMessage usage : usageMessages) {
       for (DaemonId owner : owners) {
         shareUsage(owner, usage);
       }
@@ -283,23 +283,23 @@
   }
 
   /** Handles what the owner of another shard told. */
-  public void heardUsage(OrganisationUsageMessage usage) {
-    informSharing((sharing, now) -> sharing.receiveUsage(usage, now));
+  public void receiveUsage(OrganisationUsageMessage usage) {
+    applyToUsageSharing((sharing, now) -> sharing.receiveUsage(usage, now));
   }
 
-  private void informSharing(ObjLongConsumer<UsageSharing> fact) {
-    owned.informAll(
+  private void applyToUsageSharing(ObjLongConsumer<UsageSharing> action) {
+    owned.applyToAll(
         (placer, now) -> {
           if (placer instanceof UsageSharing sharing) {
-            fact.accept(sharing, now);
+            action.accept(sharing, now);
           }
           return List.of();
         });
   }
 
   /** Engines decided for here that would be of more use in another role. */
-  public List<RoleChange> wantedRoleChanges() {
-    return owned.wantedRoleChanges();
+  public List<RoleChange> recommendedRoleChanges() {
+    return owned.recommendedRoleChanges();
   }
 
   /** The shards that this daemon decides for now. */
@@ -308,29 +308,29 @@
   }
 
   /** Those of them in which something waits. */
-  public List<ShardView> viewsOfWaiting() {
-    return owned.viewsOfWaiting();
+  public List<ShardView> viewsWithWaitingRequests() {
+    return owned.viewsWithWaitingRequests();
   }
 
   /** The shards that this daemon decides for, also those for which there is no request now. */
-  public List<ShardView> viewsWithIdle() {
+  public List<ShardView> viewsWithIdleShards() {
     List<ShardView> views = new ArrayList<>(owned.views());
-    Set<ShardId> idle = rankedShards();
-    views.forEach(view -> idle.remove(view.shard()));
-    idle.forEach(shard -> views.add(owned.idleView(shard, factsOf(shard))));
+    Set<ShardId> idleShards = firstOwnedShards();
+    views.forEach(view -> idleShards.remove(view.shard()));
+    idleShards.forEach(shard -> views.add(owned.idleView(shard, upstreamEvents(shard))));
     return views;
   }
 
-  private List<PlacerEvent> factsOf(ShardId shard) {
-    List<PlacerEvent> facts = new ArrayList<>();
-    for (UpstreamDefinition upstream : choice.upstreamsOf(shard)) {
+  private List<PlacerEvent> upstreamEvents(ShardId shard) {
+    List<PlacerEvent> events = new ArrayList<>();
+    for (UpstreamDefinition upstream : topology.upstreamsOf(shard)) {
       Optional.ofNullable(latestLoads.get(upstream.name()))
-          .ifPresent(report -> facts.add((placer, now) -> placer.load(report, now)));
+          .ifPresent(report -> events.add((placer, now) -> placer.load(report, now)));
       if (unavailable.contains(upstream.name())) {
-        facts.add((placer, now) -> placer.availability(upstream.name(), false, now));
+        events.add((placer, now) -> placer.availability(upstream.name(), false, now));
       }
     }
-    return facts;
+    return events;
   }
 
   /**
@@ -338,28 +338,28 @@
    * which it ranks first.
    */
   public Set<ShardId> watchedShards() {
-    Set<ShardId> watched = rankedShards();
+    Set<ShardId> watched = firstOwnedShards();
     watched.addAll(owned.ids());
     return watched;
   }
 
-  private Set<ShardId> rankedShards() {
-    Set<ShardId> ranked = new HashSet<>();
-    for (ShardId shard : choice.shards()) {
+  private Set<ShardId> firstOwnedShards() {
+    Set<ShardId> firstOwned = new HashSet<>();
+    for (ShardId shard : topology.shards()) {
       if (isFirstOwner(shard)) {
-        ranked.add(shard);
+        firstOwned.add(shard);
       }
     }
-    return ranked;
+    return firstOwned;
   }
 
   private boolean isFirstOwner(ShardId shard) {
-    return choice.owners(shard).get(0).equals(self);
+    return topology.owners(shard).get(0).equals(self);
   }
 
   private void shareUsage(DaemonId owner, OrganisationUsageMessage usage) {
     if (owner.equals(self)) {
-      heardUsage(usage);
+      receiveUsage(usage);
     } else {
       transport.send(owner, usage);
     }
@@ -373,20 +373,20 @@
         || message instanceof PlacementMessage.Holdings;
   }
 
-  private void act(List<EntryAction> actions) {
+  private void execute(List<EntryAction> actions) {
     for (EntryAction action : actions) {
       if (action instanceof EntryAction.Send send) {
         send(send.to(), send.message());
-      } else if (action instanceof EntryAction.Complete answer) {
-        answer(answer);
+      } else if (action instanceof EntryAction.Complete completion) {
+        complete(completion);
       }
     }
   }
 
-  private void answer(EntryAction.Complete answer) {
-    Consumer<PlacementResult> callback = callbacks.remove(answer.request());
+  private void complete(EntryAction.Complete completion) {
+    Consumer<PlacementResult> callback = callbacks.remove(completion.request());
     if (callback != null) {
-      callback.accept(answer.result());
+      callback.accept(completion.result());
     }
   }
 
@@ -396,7 +396,7 @@
         .counter("marjoramsail.placement.messages", "kind", kind, "remote", "" + !to.equals(self))
         .increment();
     if (to.equals(self)) {
-      heard(self, message);
+      receive(self, message);
     } else {
       transport.send(to, message);
     }
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShard.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShard.java
@@ -16,13 +16,13 @@
 final class OwnedShard {
 
   private final ShardId shard;
-  private final ShardCoordinator ledger;
-  private long usedMillis;
+  private final ShardCoordinator coordinator;
+  private long lastUsedMillis;
 
-  OwnedShard(ShardId shard, ShardCoordinator ledger, long nowMillis) {
+  OwnedShard(ShardId shard, ShardCoordinator coordinator, long nowMillis) {
     this.shard = shard;
-    this.ledger = ledger;
-    this.usedMillis = nowMillis;
+    this.coordinator = coordinator;
+    this.lastUsedMillis = nowMillis;
   }
 
   ShardId shard() {
@@ -31,54 +31,54 @@
 
   synchronized List<ShardCoordinator.Outgoing> handle(
       DaemonId from, PlacementMessage message, long nowMillis) {
-    usedMillis = nowMillis;
-    return ledger.handle(from, message, nowMillis);
+    lastUsedMillis = nowMillis;
+    return coordinator.handle(from, message, nowMillis);
   }
 
-  synchronized List<ShardCoordinator.Outgoing> inform(PlacerEvent event, long nowMillis) {
-    return ledger.apply(event, nowMillis);
+  synchronized List<ShardCoordinator.Outgoing> apply(PlacerEvent event, long nowMillis) {
+    return coordinator.apply(event, nowMillis);
   }
 
   synchronized List<ShardCoordinator.Outgoing> daemonFailed(DaemonId daemon, long nowMillis) {
-    return ledger.daemonFailed(daemon, nowMillis);
+    return coordinator.daemonFailed(daemon, nowMillis);
   }
 
   synchronized void daemonRecovered(DaemonId daemon) {
-    ledger.daemonRecovered(daemon);
+    coordinator.daemonRecovered(daemon);
   }
 
   synchronized List<ShardCoordinator.Outgoing> tick(long nowMillis) {
-    if (!ledger.isEmpty()) {
-      usedMillis = nowMillis;
+    if (!coordinator.isEmpty()) {
+      lastUsedMillis = nowMillis;
     }
-    return ledger.tick(nowMillis);
+    return coordinator.tick(nowMillis);
   }
 
   synchronized Optional<OrganisationUsageMessage> usage(long nowMillis) {
-    return ledger.usage(nowMillis);
+    return coordinator.usage(nowMillis);
   }
 
   synchronized List<AcceptedFeedback> takeAcceptedFeedback() {
-    return ledger.takeAcceptedFeedback();
+    return coordinator.takeAcceptedFeedback();
   }
 
   synchronized boolean isEmpty() {
-    return ledger.isEmpty();
+    return coordinator.isEmpty();
   }
 
-  synchronized Optional<RoleChange> wantedRoleChange(long nowMillis) {
-    return ledger.recommendedRoleChange(nowMillis);
+  synchronized Optional<RoleChange> recommendedRoleChange(long nowMillis) {
+    return coordinator.recommendedRoleChange(nowMillis);
   }
 
   synchronized boolean isWaiting() {
-    return ledger.isWaiting();
+    return coordinator.isWaiting();
   }
 
   synchronized ShardView view(long nowMillis) {
-    return ledger.view(nowMillis);
+    return coordinator.view(nowMillis);
   }
 
   synchronized boolean isUnusedSince(long millis) {
-    return ledger.isEmpty() && usedMillis < millis;
+    return coordinator.isEmpty() && lastUsedMillis < millis;
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShards.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShards.java
@@ -34,7 +34,7 @@
   private static final long IDLE_MILLIS = 10_000;
 
   private final DaemonId self;
-  private final ShardChoice choice;
+  private final ShardTopology topology;
   private final PlacementTimings timings;
   private final Clock clock;
   private final Consumer<ShardCoordinator.Outgoing> sender;
@@ -42,12 +42,12 @@
 
   OwnedShards(
       DaemonId self,
-      ShardChoice choice,
+      ShardTopology topology,
       PlacementTimings timings,
       Clock clock,
       Consumer<ShardCoordinator.Outgoing> sender) {
     this.self = self;
-    this.choice = choice;
+    this.topology = topology;
     this.timings = timings;
     this.clock = clock;
     this.sender = sender;
@@ -57,13 +57,13 @@
     send(shard(message.shard()).handle(from, message, clock.millis()));
   }
 
-  /** Tells a fact to one shard, which begins to exist here. */
-  void inform(ShardId shard, PlacerEvent event) {
-    send(shard(shard).inform(event, clock.millis()));
+  /** Tells a event to one shard, which begins to exist here. */
+  void apply(ShardId shard, PlacerEvent event) {
+    send(shard(shard).apply(event, clock.millis()));
   }
 
-  void informAll(PlacerEvent event) {
-    shards.values().forEach(shard -> send(shard.inform(event, clock.millis())));
+  void applyToAll(PlacerEvent event) {
+    shards.values().forEach(shard -> send(shard.apply(event, clock.millis())));
   }
 
   void daemonFailed(DaemonId daemon) {
@@ -78,7 +78,9 @@
     long now = clock.millis();
     shards.values().forEach(shard -> send(shard.tick(now)));
     shards.values().forEach(OwnedShards::log);
-    shards.values().removeIf(shard -> !keeps(shard) && shard.isUnusedSince(now - IDLE_MILLIS));
+    shards
+        .values()
+        .removeIf(shard -> !isFirstOwner(shard) && shard.isUnusedSince(now - IDLE_MILLIS));
   }
 
   /**
@@ -88,24 +90,24 @@
    * that is opened anew knows no load and settles as after a change of owner, longer than the
    * lookup can wait. The first in rank keeps its shards open and fed with reports.
    */
-  private boolean keeps(OwnedShard shard) {
-    return choice.shards().contains(shard.shard())
-        && choice.owners(shard.shard()).get(0).equals(self);
+  private boolean isFirstOwner(OwnedShard shard) {
+    return topology.shards().contains(shard.shard())
+        && topology.owners(shard.shard()).get(0).equals(self);
   }
 
   boolean isEmpty() {
     return shards.isEmpty();
   }
 
-  boolean isBusy() {
+  boolean hasWaitingRequests() {
     return shards.values().stream().anyMatch(OwnedShard::isWaiting);
   }
 
   /** Engines of the shards that this daemon ranks first for which should change their role. */
-  List<RoleChange> wantedRoleChanges() {
+  List<RoleChange> recommendedRoleChanges() {
     return shards.values().stream()
-        .filter(this::keeps)
-        .flatMap(shard -> shard.wantedRoleChange(clock.millis()).stream())
+        .filter(this::isFirstOwner)
+        .flatMap(shard -> shard.recommendedRoleChange(clock.millis()).stream())
         .toList();
   }
 
@@ -114,7 +116,7 @@
   }
 
   /** What the owners of other shards should hear of the organisations in each shard here. */
-  List<OrganisationUsageMessage> usages() {
+  List<OrganisationUsageMessage> usageMessages() {
     long now = clock.millis();
     return shards.values().stream()
         .map(shard -> shard.usage(now))
@@ -127,29 +129,29 @@
   }
 
   /** The same of shards in which something waits; the others are not looked at. */
-  List<ShardView> viewsOfWaiting() {
+  List<ShardView> viewsWithWaitingRequests() {
     return shards.values().stream()
         .filter(OwnedShard::isWaiting)
         .map(shard -> shard.view(clock.millis()))
         .toList();
   }
 
-  /** What a shard without requests would look like that begins to exist now with these facts. */
-  ShardView idleView(ShardId shard, List<PlacerEvent> facts) {
-    OwnedShard idle = open(shard);
-    facts.forEach(fact -> idle.inform(fact, clock.millis()));
-    return idle.view(clock.millis());
+  /** What a shard without requests would look like that begins to exist now with these events. */
+  ShardView idleView(ShardId shard, List<PlacerEvent> events) {
+    OwnedShard idleShard = open(shard);
+    events.forEach(event -> idleShard.apply(event, clock.millis()));
+    return idleShard.view(clock.millis());
   }
 
   private static void log(OwnedShard shard) {
-    for (AcceptedFeedback belief : shard.takeAcceptedFeedback()) {
+    for (AcceptedFeedback feedback : shard.takeAcceptedFeedback()) {
       LOG.atInfo()
           .addKeyValue("shard", shard.shard())
-          .addKeyValue("upstream", belief.upstream())
-          .addKeyValue("requestsPerSecond", belief.requestsPerSecond().orElse(null))
-          .addKeyValue("leaving", belief.leaving())
-          .addKeyValue("heardFrom", belief.reportedBy())
-          .addKeyValue("ageMillis", belief.ageMillis())
+          .addKeyValue("upstream", feedback.upstream())
+          .addKeyValue("requestsPerSecond", feedback.requestsPerSecond().orElse(null))
+          .addKeyValue("leaving", feedback.leaving())
+          .addKeyValue("heardFrom", feedback.reportedBy())
+          .addKeyValue("ageMillis", feedback.ageMillis())
           .log("owner believes what an upstream said of itself");
     }
   }
@@ -159,8 +161,8 @@
   }
 
   private OwnedShard open(ShardId id) {
-    ShardCoordinator ledger = new ShardCoordinator(id, choice.placerFor(id), timings);
-    return new OwnedShard(id, ledger, clock.millis());
+    ShardCoordinator coordinator = new ShardCoordinator(id, topology.placerFor(id), timings);
+    return new OwnedShard(id, coordinator, clock.millis());
   }
 
   private void send(List<ShardCoordinator.Outgoing> messages) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/QueueLog.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/QueueLog.java
@@ -21,7 +21,7 @@
   /**
    * Often enough to see a burst build up, seldom enough to be some bytes of all that is written.
    */
-  private static final long EVERY_MILLIS = 1_000;
+  private static final long INTERVAL_MILLIS = 1_000;
 
   private final Supplier<List<ShardView>> waiting;
   private final Clock clock;
@@ -39,7 +39,7 @@
     if (now < nextAtMillis) {
       return;
     }
-    nextAtMillis = now + EVERY_MILLIS;
+    nextAtMillis = now + INTERVAL_MILLIS;
     waiting.get().forEach(QueueLog::write);
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/ShardChoice.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/ShardTopology.java
@@ -12,7 +12,7 @@
 import org.marjoramsail.core.placement.ShardId;
 
 /** How requests and upstreams belong to shards, and how a shard decides. */
-public interface ShardChoice extends ShardDirectory {
+public interface ShardTopology extends ShardDirectory {
 
   /** The shard of a request; empty where its service has no upstreams that this daemon reaches. */
   Optional<ShardId> shardFor(PlacementRequest request);
@@ -34,5 +34,5 @@
   void configure(Configuration configuration);
 
   /** Handles a newer view of the daemons. */
-  void members(MembershipView view);
+  void updateMembership(MembershipView view);
 }
--- a/daemon/src/test/java/org/marjoramsail/daemon/placement/IdleShardTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/placement/IdleShardTest.java
@@ -32,7 +32,7 @@
 final class IdleShardTest {
 
   private static final UpstreamName SERVER = new UpstreamName("ventanilla-0");
-  private static final long QUIET_MILLIS = 60_000;
+  private static final long IDLE_MILLIS = 60_000;
   private static final long REPORT_MILLIS = 500;
 
   private final ManualClock clock = new ManualClock(1_000);
@@ -41,11 +41,11 @@
   // a shard has had no request for a minute, its owner forgets it, a lookup opens it anew. Cause:
   // what is opened anew knows no load and settles for longer than a lookup can wait.
   @Test
-  void theFirstLookupAfterAQuietTimeIsGrantedAtOnce() {
+  void theFirstRequestAfterAnIdlePeriodIsGrantedAtOnce() {
     for (String host : List.of("entry-1", "entry-2")) {
       DistributedPlacement placement = placementOf(host);
       List<PlacementResult> results = new ArrayList<>();
-      for (long passed = 0; passed < QUIET_MILLIS; passed += REPORT_MILLIS) {
+      for (long passed = 0; passed < IDLE_MILLIS; passed += REPORT_MILLIS) {
         clock.advance(REPORT_MILLIS);
         placement.load(new LoadReport(SERVER, 1, UpstreamRole.PLAIN, 4, 0, 0, 0, false, 0));
         placement.tickOwned();
@@ -75,7 +75,8 @@
             clock,
             new SimpleMeterRegistry(),
             new UpstreamFeedbackTable());
-    placement.members(new MembershipView(self, List.of(member("entry-1"), member("entry-2"))));
+    placement.updateMembership(
+        new MembershipView(self, List.of(member("entry-1"), member("entry-2"))));
     placement.configure(configuration());
     return placement;
   }
--- a/daemon/src/test/java/org/marjoramsail/daemon/placement/PlacementMessageFormatTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/placement/PlacementMessageFormatTest.java
@@ -34,7 +34,7 @@
   private static final ShardId SHARD = new ShardId("asistente-concejo", "santiago", 3);
   private static final RequestId REQUEST = new RequestId("entry-1-1-000123456");
 
-  private static final RelayedFeedback LIMITED =
+  private static final RelayedFeedback RATE_LIMITED =
       new RelayedFeedback(
           new UpstreamName("asistente-concejo-d-2"),
           1_764_700_000_000L,
@@ -91,10 +91,10 @@
 
   static List<PlacementMessage> messages() {
     return List.of(
-        new PlacementMessage.Place(SHARD, request(1_000), List.of(LIMITED)),
+        new PlacementMessage.Place(SHARD, request(1_000), List.of(RATE_LIMITED)),
         new PlacementMessage.Restore(
-            SHARD, request(0), grant(), AttemptPhase.GENERATING, List.of(LIMITED)),
-        new PlacementMessage.Report(SHARD, ended(), List.of(LIMITED)),
+            SHARD, request(0), grant(), AttemptPhase.GENERATING, List.of(RATE_LIMITED)),
+        new PlacementMessage.Report(SHARD, ended(), List.of(RATE_LIMITED)),
         new PlacementMessage.Withdraw(SHARD, REQUEST, 2),
         new PlacementMessage.Holdings(
             SHARD, List.of(new PlacementMessage.Holding(REQUEST, 1, true))),
@@ -107,7 +107,7 @@
 
   @ParameterizedTest
   @MethodSource("messages")
-  void whatIsSentIsReadAsTheSame(PlacementMessage message) throws PeerCodecException {
+  void aDecodedMessageEqualsTheOneSent(PlacementMessage message) throws PeerCodecException {
     assertThat(codec.decode(codec.encode(message))).isEqualTo(message);
   }
 
@@ -116,7 +116,7 @@
    * control; with the names of all fields and every hash a request cost more than 5 KB.
    */
   @Test
-  void aRequestCostsItsOwnerFewBytesHoweverLongItsPromptIs() throws PeerCodecException {
+  void theMessagesOfARequestAreSmallHoweverLongItsPromptIs() throws PeerCodecException {
     int bytes =
         codec.encode(new PlacementMessage.Place(SHARD, request(30_000), List.of())).length
             + codec.encode(new PlacementMessage.Granted(SHARD, grant())).length
