--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/ConfiguredShards.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/ConfiguredShards.java
@@ -24,13 +24,13 @@
 import org.marjoramsail.core.placement.UsageSharing;
 import org.marjoramsail.core.time.Clock;
 
-/** Shards as the newest configuration and the newest view of the daemons make them. */
+/** Shard topology derived from the newest configuration and the newest membership view. */
 public final class ConfiguredShards implements ShardTopology {
 
-  /** How many daemons an entry tries before it decides for itself. */
+  /** Number of daemons that an entry tries as owner of a shard before it falls back to itself. */
   private static final int MAXIMUM_OWNERS = 3;
 
-  /** What follows from one configuration. */
+  /** Lookup tables derived from one configuration. */
   private record ConfigurationIndex(
       Configuration configuration, ShardMap map, Map<UpstreamName, ShardId> shardOf) {
 
@@ -46,7 +46,7 @@
     }
   }
 
-  /** What follows from one view of the daemons; owners are worked out once for each shard. */
+  /** Lookup tables derived from one membership view; the owners of a shard are computed once. */
   private record MembershipIndex(
       MembershipView view, Map<DaemonId, String> zones, Map<ShardId, List<DaemonId>> owners) {
 
@@ -70,13 +70,13 @@
   private volatile MembershipIndex membershipIndex;
 
   /**
-   * Starts with no shards and no daemon but this one.
+   * Creates a topology without shards, with this daemon as the only member.
    *
    * @param self this daemon
-   * @param policy how a shard decides
-   * @param settings where its estimates start
-   * @param random for the policies that draw; safe for several threads
-   * @param clock the time at which a placer begins
+   * @param policy creates the placers of shards
+   * @param settings initial values of the estimates
+   * @param random source of randomness for policies that sample; thread-safe
+   * @param clock provides the start time of placers
    */
   public ConfiguredShards(
       Member self,
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/DistributedPlacement.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/DistributedPlacement.java
@@ -42,12 +42,12 @@
 import org.marjoramsail.core.time.Clock;
 
 /**
- * Placement of the whole fleet, as one daemon takes part in it.
+ * Takes part in the fleet-wide placement of requests on behalf of one daemon.
  *
- * <p>It is entry for the requests of this daemon's callers and owner of some shards. Messages to
- * itself take no network. Callbacks and sends happen outside of all locks, so messages of one
- * attempt may overtake each other; {@link EntryPlacement} and {@link ShardCoordinator} hold under
- * that.
+ * <p>The daemon is the entry for the requests of its own callers and the owner of some shards.
+ * Messages to itself bypass the network. Callbacks and sends run outside of all locks, so messages
+ * of one attempt can be reordered; {@link EntryPlacement} and {@link ShardCoordinator} tolerate
+ * this.
  */
 public final class DistributedPlacement implements PlacementService {
 
@@ -68,13 +68,13 @@
   /**
    * Creates the placement of one daemon.
    *
-   * @param self its run
-   * @param topology how requests and upstreams belong to shards
-   * @param transport the way to other daemons
-   * @param timings how long entries and owners wait for each other
-   * @param clock the time
+   * @param self identity and incarnation of this daemon
+   * @param topology maps requests and upstreams to shards
+   * @param transport sends messages to other daemons
+   * @param timings timeouts between entries and owners
+   * @param clock provides the current time
    * @param meters counts messages and grants
-   * @param feedback what upstreams said of themselves to this daemon
+   * @param feedback feedback that this daemon received from upstreams
    */
   public DistributedPlacement(
       DaemonId self,
@@ -136,7 +136,7 @@
     execute(actions);
   }
 
-  /** Handles a message of another daemon. */
+  /** Handles a placement message from another daemon or from this daemon itself. */
   public void receive(DaemonId from, PlacementMessage message) {
     if (isForOwner(message)) {
       owned.handle(from, message);
@@ -150,7 +150,7 @@
     execute(actions);
   }
 
-  /** Records that the connection to a daemon is failed. */
+  /** Handles the loss of the connection to a daemon. */
   public void connectionLost(DaemonId daemon) {
     List<EntryAction> actions;
     synchronized (entryLock) {
@@ -159,7 +159,9 @@
     execute(actions);
   }
 
-  /** Handles a newer view of the daemons; what a dead one had here is dropped. */
+  /**
+   * Applies a newer membership view, and drops the state of daemons that are no longer reachable.
+   */
   public void updateMembership(MembershipView view) {
     topology.updateMembership(view);
     Set<DaemonId> reachableNow = new HashSet<>();
@@ -190,13 +192,13 @@
     tickEntry();
   }
 
-  /** Handles what an upstream says of its load. */
+  /** Applies a load report of an upstream. */
   public void load(LoadReport report) {
     latestLoads.put(report.upstream(), report);
     apply(report.upstream(), (placer, now) -> placer.load(report, now));
   }
 
-  /** Records that an upstream is leaving or unreachable, or is recovered. */
+  /** Records whether an upstream is available, that is, neither draining nor unreachable. */
   public void availability(UpstreamName upstream, boolean available) {
     if (available) {
       unavailable.remove(upstream);
@@ -206,7 +208,7 @@
     apply(upstream, (placer, now) -> placer.availability(upstream, available, now));
   }
 
-  /** Handles what an upstream says of its prefix cache; policies without an index ignore it. */
+  /** Applies a change of the prefix cache of an upstream; policies without an index ignore it. */
   public void receiveCacheEvent(CacheEvent event) {
     apply(
         event.upstream(),
@@ -218,7 +220,7 @@
         });
   }
 
-  /** Tells a fact about an upstream to the shard that it belongs to, if that is decided here. */
+  /** Applies an event to the shard of an upstream, if this daemon owns that shard. */
   public void apply(UpstreamName upstream, PlacerEvent event) {
     topology
         .shardOf(upstream)
@@ -226,34 +228,34 @@
         .ifPresent(shard -> owned.apply(shard, event));
   }
 
-  /** Does what time has made due on the owner's side; called every few milliseconds. */
+  /** Runs the due actions of the owned shards; called every few milliseconds. */
   public void tickOwned() {
     owned.tick();
   }
 
-  /** Whether a request waits in a shard that is decided here. */
+  /** Returns whether a request waits in a shard that this daemon owns. */
   public boolean hasWaitingRequests() {
     return owned.hasWaitingRequests();
   }
 
-  /** Whether any shard is decided here. */
+  /** Returns whether this daemon owns any shard. */
   public boolean isOwner() {
     return !owned.isEmpty();
   }
 
-  /** Whether this entry holds or waits for any attempt. */
+  /** Returns whether this entry has any placed or waiting attempt. */
   public boolean isEntryBusy() {
     synchronized (entryLock) {
       return entry.size() > 0;
     }
   }
 
-  /** Calls {@code listener} whenever something may have come up that a tick has to look after. */
+  /** Sets the listener that is called when new work may require an earlier tick. */
   public void onWork(Runnable listener) {
     workListener = listener;
   }
 
-  /** Does what time has made due on the entry's side; called some times a second. */
+  /** Runs the due actions of the entry; called several times a second. */
   public void tickEntry() {
     List<EntryAction> actions;
     synchronized (entryLock) {
@@ -263,8 +265,8 @@
   }
 
   /**
-   * Tells the owners of other shards what organisations use here, so that limits hold over all
-   * shards; called some times a second, and most calls send nothing.
+   * Sends the usage of each organisation in the owned shards to the owners of other shards, so that
+   * limits hold over all shards. Called several times a second; most calls send nothing.
    */
   public void shareUsage() {
     List<OrganisationUsageMessage> usageMessages = owned.usageMessages();
@@ -282,7 +284,7 @@
     }
   }
 
-  /** Handles what the owner of another shard told. */
+  /** Applies the usage that the owner of another shard has sent. */
   public void receiveUsage(OrganisationUsageMessage usage) {
     applyToUsageSharing((sharing, now) -> sharing.receiveUsage(usage, now));
   }
@@ -297,22 +299,22 @@
         });
   }
 
-  /** Engines decided for here that would be of more use in another role. */
+  /** Returns the recommended role changes for engines of the owned shards. */
   public List<RoleChange> recommendedRoleChanges() {
     return owned.recommendedRoleChanges();
   }
 
-  /** The shards that this daemon decides for now. */
+  /** Returns a view of each shard that this daemon owns now. */
   public List<ShardView> views() {
     return owned.views();
   }
 
-  /** Those of them in which something waits. */
+  /** Returns a view of each owned shard in which a request waits. */
   public List<ShardView> viewsWithWaitingRequests() {
     return owned.viewsWithWaitingRequests();
   }
 
-  /** The shards that this daemon decides for, also those for which there is no request now. */
+  /** Returns a view of each shard that this daemon owns, including shards without requests. */
   public List<ShardView> viewsWithIdleShards() {
     List<ShardView> views = new ArrayList<>(owned.views());
     Set<ShardId> idleShards = firstOwnedShards();
@@ -334,8 +336,8 @@
   }
 
   /**
-   * The shards whose upstreams this daemon has to watch: those that it decides for and those for
-   * which it ranks first.
+   * Returns the shards whose upstreams this daemon has to watch: those that it owns now and those
+   * for which it ranks first.
    */
   public Set<ShardId> watchedShards() {
     Set<ShardId> watched = firstOwnedShards();
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShard.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShard.java
@@ -12,7 +12,7 @@
 import org.marjoramsail.core.placement.ShardId;
 import org.marjoramsail.core.placement.ShardView;
 
-/** One shard that this daemon decides for, under its own lock. */
+/** A shard that this daemon owns; its lock guards the coordinator. */
 final class OwnedShard {
 
   private final ShardId shard;
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShards.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/OwnedShards.java
@@ -21,16 +21,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The shards that this daemon decides for.
+ * The shards that this daemon owns.
  *
- * <p>A shard comes into being with the first message about it, whoever ranks first for it: an entry
- * that finds the first in rank silent must be served by the next, before all have noticed.
+ * <p>A shard is opened by the first message about it, even if another daemon ranks first for it: an
+ * entry whose first-ranked owner does not respond must be served by the next one, before all
+ * daemons have detected the failure.
  */
 final class OwnedShards {
 
   private static final Logger LOG = LoggerFactory.getLogger(OwnedShards.class);
 
-  /** How long a shard without requests is kept, in milliseconds. */
+  /** Time after which a shard without requests is closed, in milliseconds. */
   private static final long IDLE_MILLIS = 10_000;
 
   private final DaemonId self;
@@ -57,7 +58,7 @@
     send(shard(message.shard()).handle(from, message, clock.millis()));
   }
 
-  /** Tells a event to one shard, which begins to exist here. */
+  /** Applies an event to one shard, and opens the shard if necessary. */
   void apply(ShardId shard, PlacerEvent event) {
     send(shard(shard).apply(event, clock.millis()));
   }
@@ -84,11 +85,11 @@
   }
 
   /**
-   * Whether a shard stays open without requests.
+   * Returns whether this daemon ranks first for a shard, which then stays open without requests.
    *
-   * <p>Guards against the failure in which the first lookup after a quiet time is refused: a shard
-   * that is opened anew knows no load and settles as after a change of owner, longer than the
-   * lookup can wait. The first in rank keeps its shards open and fed with reports.
+   * <p>Guards against the failure in which the first request after an idle period is refused: a
+   * newly opened shard has no load reports and waits as after a change of owner, longer than the
+   * deadline of a short request. The first-ranked owner keeps applying reports to its open shards.
    */
   private boolean isFirstOwner(OwnedShard shard) {
     return topology.shards().contains(shard.shard())
@@ -103,7 +104,7 @@
     return shards.values().stream().anyMatch(OwnedShard::isWaiting);
   }
 
-  /** Engines of the shards that this daemon ranks first for which should change their role. */
+  /** Returns the recommended role changes in the shards for which this daemon ranks first. */
   List<RoleChange> recommendedRoleChanges() {
     return shards.values().stream()
         .filter(this::isFirstOwner)
@@ -115,7 +116,7 @@
     return List.copyOf(shards.keySet());
   }
 
-  /** What the owners of other shards should hear of the organisations in each shard here. */
+  /** Returns the usage of organisations in each owned shard, for the owners of other shards. */
   List<OrganisationUsageMessage> usageMessages() {
     long now = clock.millis();
     return shards.values().stream()
@@ -128,7 +129,7 @@
     return shards.values().stream().map(shard -> shard.view(clock.millis())).toList();
   }
 
-  /** The same of shards in which something waits; the others are not looked at. */
+  /** Returns the views of the shards in which a request waits. */
   List<ShardView> viewsWithWaitingRequests() {
     return shards.values().stream()
         .filter(OwnedShard::isWaiting)
@@ -136,7 +137,9 @@
         .toList();
   }
 
-  /** What a shard without requests would look like that begins to exist now with these events. */
+  /**
+   * Returns the view of a shard that is not open, as it would be if opened now with these events.
+   */
   ShardView idleView(ShardId shard, List<PlacerEvent> events) {
     OwnedShard idleShard = open(shard);
     events.forEach(event -> idleShard.apply(event, clock.millis()));
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/QueueLog.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/QueueLog.java
@@ -11,29 +11,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes what waits in the shards that this daemon owns, what it lacks and what each upstream
- * holds: one line a second and shard, and none while nothing waits.
+ * Logs the queues of the owned shards: the waiting requests, the resources they wait for, and the
+ * occupied slots of each upstream. Each shard has one line a second while a request waits in it.
  */
 public final class QueueLog {
 
   private static final Logger LOG = LoggerFactory.getLogger(QueueLog.class);
 
-  /**
-   * Often enough to see a burst build up, seldom enough to be some bytes of all that is written.
-   */
+  /** Shows a burst as it builds up, and adds little to the volume of the log. */
   private static final long INTERVAL_MILLIS = 1_000;
 
   private final Supplier<List<ShardView>> waiting;
   private final Clock clock;
   private long nextAtMillis;
 
-  /** Creates an instance with the owned shards in which something waits at each moment. */
+  /** Creates a log of the owned shards in which requests wait at the time of each call. */
   public QueueLog(Supplier<List<ShardView>> waiting, Clock clock) {
     this.waiting = waiting;
     this.clock = clock;
   }
 
-  /** Writes the lines that are due. */
+  /** Logs the queues if the interval has passed. */
   public void tick() {
     long now = clock.millis();
     if (now < nextAtMillis) {
@@ -66,7 +64,7 @@
     return view.waiting().stream().mapToLong(ShardView.WaitingView::waitedMillis).max().orElse(0);
   }
 
-  /** Each upstream with its role, what it holds of its slots, and its state. */
+  /** Formats each upstream with its role, its reserved and total slots, and its state. */
   private static String upstreams(ShardView view) {
     StringJoiner all = new StringJoiner("; ");
     for (ShardView.UpstreamView upstream : view.upstreams()) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/ShardTopology.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/ShardTopology.java
@@ -11,28 +11,28 @@
 import org.marjoramsail.core.placement.ShardDirectory;
 import org.marjoramsail.core.placement.ShardId;
 
-/** How requests and upstreams belong to shards, and how a shard decides. */
+/** Maps requests and upstreams to shards, and creates the placers of shards. */
 public interface ShardTopology extends ShardDirectory {
 
-  /** The shard of a request; empty where its service has no upstreams that this daemon reaches. */
+  /** Returns the shard of a request; empty if no shard serves it. */
   Optional<ShardId> shardFor(PlacementRequest request);
 
-  /** The shard that an upstream belongs to. */
+  /** Returns the shard that an upstream belongs to; empty if the upstream is not configured. */
   Optional<ShardId> shardOf(UpstreamName upstream);
 
-  /** The shards that there are in the region of this daemon. */
+  /** Returns the shards in the region of this daemon. */
   List<ShardId> shards();
 
-  /** The upstreams of a shard; empty for one that the configuration does not have. */
+  /** Returns the upstreams of a shard; empty if the shard is not in the configuration. */
   @Override
   List<UpstreamDefinition> upstreamsOf(ShardId shard);
 
-  /** A placer for a shard that this daemon begins to own. */
+  /** Creates the placer of a shard that this daemon opens. */
   Placer placerFor(ShardId shard);
 
   /** Applies a newer configuration. */
   void configure(Configuration configuration);
 
-  /** Handles a newer view of the daemons. */
+  /** Applies a newer membership view. */
   void updateMembership(MembershipView view);
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/placement/package-info.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Placement over the fleet: the owned shards of this daemon, and its requests with all owners. */
+/** Fleet-wide placement: the shards that this daemon owns, and its requests to all shard owners. */
 package org.marjoramsail.daemon.placement;
--- a/daemon/src/test/java/org/marjoramsail/daemon/placement/IdleShardTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/placement/IdleShardTest.java
@@ -37,9 +37,9 @@
 
   private final ManualClock clock = new ManualClock(1_000);
 
-  // A neighbour's lookup is refused with deadline-unreachable in the quiet of the night. In order:
-  // a shard has had no request for a minute, its owner forgets it, a lookup opens it anew. Cause:
-  // what is opened anew knows no load and settles for longer than a lookup can wait.
+  // Guards against a refusal with deadline-unreachable of the first request after an idle minute:
+  // a shard that its owner has closed reopens without load reports, and the request waits for them
+  // beyond its deadline.
   @Test
   void theFirstRequestAfterAnIdlePeriodIsGrantedAtOnce() {
     for (String host : List.of("entry-1", "entry-2")) {
@@ -58,7 +58,7 @@
         return;
       }
     }
-    throw new AssertionError("One of the two daemons ranks first for the shard.");
+    throw new AssertionError("None of the two daemons ranks first for the shard.");
   }
 
   private DistributedPlacement placementOf(String host) {
--- a/daemon/src/test/java/org/marjoramsail/daemon/placement/PlacementMessageFormatTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/placement/PlacementMessageFormatTest.java
@@ -28,7 +28,7 @@
 import org.marjoramsail.daemon.peer.PeerCodec;
 import org.marjoramsail.daemon.peer.PeerCodecException;
 
-/** Messages of placement as daemons send them. */
+/** Tests the encoding of placement messages between daemons. */
 final class PlacementMessageFormatTest {
 
   private static final ShardId SHARD = new ShardId("asistente-concejo", "santiago", 3);
@@ -112,8 +112,8 @@
   }
 
   /**
-   * At the target an owner hears of some hundred requests a second and may spend 27 KB a second on
-   * control; with the names of all fields and every hash a request cost more than 5 KB.
+   * Guards against control traffic that grows with prompts: messages must not contain field names
+   * or every prefix hash.
    */
   @Test
   void theMessagesOfARequestAreSmallHoweverLongItsPromptIs() throws PeerCodecException {
