--- a/daemon/src/main/java/org/marjoramsail/daemon/timing/AdaptiveTimer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/timing/AdaptiveTimer.java
@@ -5,10 +5,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * Calls a task again and again, often while there is work and seldom while there is none.
+ * Calls a task repeatedly: at a short interval while there is work, and at a long interval while
+ * idle, which keeps an idle daemon cheap.
  *
- * <p>At rest a daemon's timers were most of its control cost. Work that arrives at rest waits for
- * at most the pause at rest until the first call, unless its arrival is told with {@link #wake}.
+ * <p>Work that arrives while the timer is idle waits for at most the idle interval, unless {@link
+ * #wake} is called.
  */
 public final class AdaptiveTimer {
 
@@ -20,12 +21,12 @@
   private boolean stopped;
 
   /**
-   * Creates a timer with one pause while there is work and another at rest.
+   * Creates a timer with one interval while there is work and another while idle.
    *
-   * @param busyMillis pause between two calls while there is work; at least one
-   * @param idleMillis pause while there is none
-   * @param busy asked after each call
-   * @param task what to call, on an event loop
+   * @param busyMillis interval between two calls while there is work; at least one
+   * @param idleMillis interval between two calls while idle
+   * @param busy returns whether there is work; evaluated after each call
+   * @param task the task, called on an event loop
    */
   public AdaptiveTimer(
       Vertx vertx, long busyMillis, long idleMillis, BooleanSupplier busy, Runnable task) {
@@ -33,11 +34,11 @@
   }
 
   /**
-   * Creates a timer that calls nothing yet.
+   * Creates a timer that is not started.
    *
-   * @param intervalMillis the pause until the next call, in milliseconds, at least one; asked after
-   *     each call and when work arrives
-   * @param task what to call, on an event loop
+   * @param intervalMillis returns the interval until the next call, in milliseconds, at least one;
+   *     evaluated after each call and by {@link #wake}
+   * @param task the task, called on an event loop
    */
   public AdaptiveTimer(Vertx vertx, LongSupplier intervalMillis, Runnable task) {
     this.vertx = vertx;
@@ -45,12 +46,12 @@
     this.task = task;
   }
 
-  /** Begins to call, and goes on until stopped. */
+  /** Starts the calls, which continue until {@link #stop}. */
   public void start() {
     schedule(intervalMillis.getAsLong());
   }
 
-  /** Brings the next call forward if work has arrived for which the pending pause is too long. */
+  /** Reschedules the next call if the current interval is shorter than the pending one. */
   public void wake() {
     long requiredMillis = intervalMillis.getAsLong();
     synchronized (this) {
@@ -63,7 +64,7 @@
     schedule(requiredMillis);
   }
 
-  /** Calls no more. */
+  /** Stops the calls. */
   public synchronized void stop() {
     stopped = true;
     vertx.cancelTimer(timer);
@@ -83,12 +84,12 @@
     try {
       task.run();
     } finally {
-      // A task that throws once must not end the timer: whatever waits would wait for ever.
+      // An exception must not end the timer, since waiting requests would never be handled.
       schedule(intervalMillis.getAsLong());
     }
   }
 
-  /** Whether a call is still wanted; one that {@link #wake} replaced may fire all the same. */
+  /** Returns whether a timer is the pending one; {@link #wake} may have replaced it as it fired. */
   private synchronized boolean isPending(long id) {
     return !stopped && id == timer;
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/timing/package-info.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/timing/package-info.java
@@ -1,2 +1,2 @@
-/** Timers that cost little while there is nothing to do. */
+/** Timers that cost little while the daemon is idle. */
 package org.marjoramsail.daemon.timing;
--- a/daemon/src/test/java/org/marjoramsail/daemon/timing/AdaptiveTimerTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/timing/AdaptiveTimerTest.java
@@ -21,8 +21,7 @@
     vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  // A user's request waits for ever in a queue that nobody serves. In order: one call of the ticks
-  // throws, no further one is planned. Cause: the next call was planned only after a good end.
+  // Guards against requests that wait for ever because an exception ended the timer.
   @Test
   void aTaskThatThrowsIsCalledAgain() throws Exception {
     CountDownLatch calls = new CountDownLatch(CALLS);
@@ -54,8 +53,7 @@
     timer.stop();
   }
 
-  // A request is answered an hour late. In order: the timer rests, a request arrives. Cause: the
-  // pause at rest was waited for although the arrival was told.
+  // Guards against a request that waits for the rest of the idle interval despite a wake-up.
   @Test
   void wakingAnIdleTimerShortensThePendingInterval() throws Exception {
     CountDownLatch calls = new CountDownLatch(CALLS);
