--- a/daemon/src/main/java/org/marjoramsail/daemon/assembly/DaemonRuntime.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/assembly/DaemonRuntime.java
@@ -65,7 +65,7 @@
 import org.marjoramsail.daemon.settings.Settings;
 import org.marjoramsail.daemon.upstream.CacheEventPoller;
 import org.marjoramsail.daemon.upstream.OrphanCanceller;
-import org.marjoramsail.daemon.upstream.PollPace;
+import org.marjoramsail.daemon.upstream.PollInterval;
 import org.marjoramsail.daemon.upstream.UpstreamStatusPoller;
 
 /** A whole daemon: its parts, started and stopped in order. */
@@ -160,7 +160,7 @@
             upstreams.engines,
             upstreams.plainServices,
             placementParts::watched,
-            PollPace.defaults(),
+            PollInterval.defaults(),
             clock,
             random);
     this.requests = requestParts(upstreams, invariants, random, json);
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/PollPace.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/PollInterval.java
@@ -7,13 +7,13 @@
  * @param jitterMillis a poll comes up to this much later, so that daemons do not poll in step
  * @param maximumPerSecond the most polls in a second, over all upstreams
  */
-public record PollPace(long intervalMillis, long jitterMillis, int maximumPerSecond) {
+public record PollInterval(long intervalMillis, long jitterMillis, int maximumPerSecond) {
 
   private static final long MILLIS_PER_SECOND = 1_000;
 
   /** The pace that daemons use where their settings say nothing else. */
-  public static PollPace defaults() {
-    return new PollPace(500, 100, 200);
+  public static PollInterval defaults() {
+    return new PollInterval(500, 100, 200);
   }
 
   /** The interval for a number of upstreams, stretched so that the rate stays in its bound. */
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamStatusPoller.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamStatusPoller.java
@@ -29,7 +29,7 @@
   private final EngineClient engines;
   private final PlainClient plainServices;
   private final Supplier<List<UpstreamDefinition>> polled;
-  private final PollPace pace;
+  private final PollInterval pollInterval;
   private final Clock clock;
   private final RandomGenerator random;
   private final Map<UpstreamName, Long> dueAtMillis = new HashMap<>();
@@ -44,7 +44,7 @@
    * @param engines calls model engines
    * @param plainServices calls plain services
    * @param polled which upstreams to poll now
-   * @param pace how often
+   * @param pollInterval how often
    * @param clock tells the time
    * @param random for the jitter
    */
@@ -53,14 +53,14 @@
       EngineClient engines,
       PlainClient plainServices,
       Supplier<List<UpstreamDefinition>> polled,
-      PollPace pace,
+      PollInterval pollInterval,
       Clock clock,
       RandomGenerator random) {
     this.vertx = vertx;
     this.engines = engines;
     this.plainServices = plainServices;
     this.polled = polled;
-    this.pace = pace;
+    this.pollInterval = pollInterval;
     this.clock = clock;
     this.random = random;
   }
@@ -83,7 +83,7 @@
   void pollDue() {
     List<UpstreamDefinition> all = polled.get();
     long nowMillis = clock.millis();
-    long intervalMillis = pace.intervalMillis(all.size());
+    long intervalMillis = pollInterval.intervalMillis(all.size());
     List<UpstreamDefinition> due;
     synchronized (this) {
       dueAtMillis.keySet().retainAll(all.stream().map(UpstreamDefinition::name).toList());
@@ -100,7 +100,7 @@
   }
 
   private long jittered(long intervalMillis) {
-    return intervalMillis + random.nextLong(pace.jitterMillis() + 1);
+    return intervalMillis + random.nextLong(pollInterval.jitterMillis() + 1);
   }
 
   /** Asks one upstream now, for instance since a call to it was cut; nothing before the start. */
