--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/DecodeFrame.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/DecodeFrame.java
@@ -27,7 +27,7 @@
     int cachedTokens) {
 
   /** Whether every field that its kind of frame needs is there. */
-  boolean isWhole() {
+  boolean isComplete() {
     return request != null && index >= 0 && (done ? finishReason != null : text != null);
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/EngineClient.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/EngineClient.java
@@ -35,8 +35,8 @@
   private static final Logger LOG = LoggerFactory.getLogger(EngineClient.class);
 
   private final ObjectMapper json;
-  private final Counter unwritableOrders;
-  private final AtomicBoolean unwritableSeen = new AtomicBoolean();
+  private final Counter unserializableRequests;
+  private final AtomicBoolean unserializableLogged = new AtomicBoolean();
 
   /**
    * Creates an instance with what it calls with.
@@ -48,98 +48,105 @@
   public EngineClient(UpstreamHttp http, ObjectMapper json, MeterRegistry meters) {
     this.http = http;
     this.json = json;
-    this.unwritableOrders = meters.counter("marjoramsail.upstream.orders.unwritable");
+    this.unserializableRequests = meters.counter("marjoramsail.upstream.orders.unwritable");
   }
 
   /**
    * Has an engine read a prompt.
    *
-   * @param answered called with the answer, at most once
-   * @param failed called with the failure, at most once and not after an answer
+   * @param onResponse called with the answer, at most once
+   * @param onFailure called with the failure, at most once and not after an answer
    */
   public UpstreamCall prefill(
       UpstreamEndpoint endpoint,
-      PrefillRequest order,
-      Consumer<PrefillResponse> answered,
-      Consumer<UpstreamFailure> failed) {
+      PrefillRequest request,
+      Consumer<PrefillResponse> onResponse,
+      Consumer<UpstreamFailure> onFailure) {
     UpstreamCall call = new UpstreamCall();
-    Consumer<UpstreamFailure> failedOnce = once(call, failed);
-    post(endpoint, "/v1/prefill", order, false, call, failedOnce)
+    Consumer<UpstreamFailure> onFailureOnce = once(call, onFailure);
+    post(endpoint, "/v1/prefill", request, false, call, onFailureOnce)
         .onSuccess(
             response ->
                 UpstreamHttp.collect(
                     response,
-                    http.limits().maximumAnswerBytes(),
-                    body -> prefillBody(response, body, call, answered, failedOnce),
-                    failedOnce));
+                    http.limits().maximumResponseBytes(),
+                    body -> handlePrefillResponse(response, body, call, onResponse, onFailureOnce),
+                    onFailureOnce));
     return call;
   }
 
-  private void prefillBody(
+  private void handlePrefillResponse(
       HttpClientResponse response,
       Buffer body,
       UpstreamCall call,
-      Consumer<PrefillResponse> answered,
-      Consumer<UpstreamFailure> failed) {
+      Consumer<PrefillResponse> onResponse,
+      Consumer<UpstreamFailure> onFailure) {
     if (response.statusCode() != OK) {
-      failed.accept(RefusalBody.failure(json, response.statusCode(), body));
+      onFailure.accept(RefusalBody.failure(json, response.statusCode(), body));
       return;
     }
-    PrefillResponse answer;
+    PrefillResponse prefillResponse;
     try {
-      answer = json.readValue(body.getBytes(), PrefillResponse.class);
+      prefillResponse = json.readValue(body.getBytes(), PrefillResponse.class);
     } catch (IOException malformed) {
-      failed.accept(UpstreamFailure.MALFORMED);
+      onFailure.accept(UpstreamFailure.MALFORMED);
       return;
     }
     if (call.finish()) {
-      answered.accept(answer);
+      onResponse.accept(prefillResponse);
     }
   }
 
   /**
    * Has an engine generate.
    *
-   * @param fresh whether the request may run only once, so that it needs a connection of its own
+   * @param newConnection whether the request may run only once, so that it needs a connection of
+   *     its own
    * @param listener hears the stream
    */
   public UpstreamCall decode(
-      UpstreamEndpoint endpoint, DecodeRequest order, boolean fresh, DecodeListener listener) {
+      UpstreamEndpoint endpoint,
+      DecodeRequest request,
+      boolean newConnection,
+      DecodeListener listener) {
     UpstreamCall call = new UpstreamCall();
-    Consumer<UpstreamFailure> failed = once(call, listener::failed);
-    post(endpoint, "/v1/decode", order, fresh, call, failed)
-        .onSuccess(response -> decodeBody(response, call, listener, failed));
+    Consumer<UpstreamFailure> onFailure = once(call, listener::failed);
+    post(endpoint, "/v1/decode", request, newConnection, call, onFailure)
+        .onSuccess(response -> handleDecodeResponse(response, call, listener, onFailure));
     return call;
   }
 
-  private void decodeBody(
+  private void handleDecodeResponse(
       HttpClientResponse response,
       UpstreamCall call,
       DecodeListener listener,
-      Consumer<UpstreamFailure> failed) {
+      Consumer<UpstreamFailure> onFailure) {
     if (response.statusCode() != OK) {
       UpstreamHttp.collect(
           response,
-          http.limits().maximumAnswerBytes(),
-          body -> failed.accept(RefusalBody.failure(json, response.statusCode(), body)),
-          failed);
+          http.limits().maximumResponseBytes(),
+          body -> onFailure.accept(RefusalBody.failure(json, response.statusCode(), body)),
+          onFailure);
       return;
     }
     LineParser parser =
         new LineParser(
-            http.limits().maximumLineBytes(), line -> frame(line, call, listener, failed));
+            http.limits().maximumLineBytes(), line -> handleFrame(line, call, listener, onFailure));
     response.handler(
         bytes -> {
           if (!parser.feed(bytes)) {
-            failed.accept(UpstreamFailure.MALFORMED);
+            onFailure.accept(UpstreamFailure.MALFORMED);
           }
         });
-    response.exceptionHandler(cause -> failed.accept(UpstreamFailure.CUT));
-    response.endHandler(ended -> failed.accept(UpstreamFailure.CUT));
+    response.exceptionHandler(cause -> onFailure.accept(UpstreamFailure.CUT));
+    response.endHandler(ended -> onFailure.accept(UpstreamFailure.CUT));
   }
 
-  private void frame(
-      Buffer line, UpstreamCall call, DecodeListener listener, Consumer<UpstreamFailure> failed) {
+  private void handleFrame(
+      Buffer line,
+      UpstreamCall call,
+      DecodeListener listener,
+      Consumer<UpstreamFailure> onFailure) {
     if (call.isFinished()) {
       return;
     }
@@ -147,11 +154,11 @@
     try {
       frame = json.readValue(line.getBytes(), DecodeFrame.class);
     } catch (IOException malformed) {
-      failed.accept(UpstreamFailure.MALFORMED);
+      onFailure.accept(UpstreamFailure.MALFORMED);
       return;
     }
-    if (!frame.isWhole()) {
-      failed.accept(UpstreamFailure.MALFORMED);
+    if (!frame.isComplete()) {
+      onFailure.accept(UpstreamFailure.MALFORMED);
       return;
     }
     if (frame.done()) {
@@ -179,13 +186,13 @@
   }
 
   /** Cancels all attempts of this and earlier runs of a daemon; gives how many there were. */
-  public Future<Integer> cancelAll(UpstreamEndpoint endpoint, DaemonId through) {
+  public Future<Integer> cancelAll(UpstreamEndpoint endpoint, DaemonId latest) {
     String path =
         ATTEMPTS
             + "?daemon="
-            + encode(through.host())
+            + encode(latest.host())
             + "&throughIncarnation="
-            + through.incarnation();
+            + latest.incarnation();
     return http.control(endpoint, HttpMethod.DELETE, path)
         .compose(body -> parse(endpoint, body, CancelledCount.class))
         .map(CancelledCount::cancelled);
@@ -218,19 +225,19 @@
   private Future<HttpClientResponse> post(
       UpstreamEndpoint endpoint,
       String path,
-      Object order,
-      boolean fresh,
+      Object payload,
+      boolean newConnection,
       UpstreamCall call,
-      Consumer<UpstreamFailure> failed) {
+      Consumer<UpstreamFailure> onFailure) {
     Buffer body;
     try {
-      body = Buffer.buffer(json.writeValueAsBytes(order));
-    } catch (JsonProcessingException unwritable) {
-      noteUnwritable(endpoint, unwritable);
-      failed.accept(UpstreamFailure.CONNECT_FAILED);
+      body = Buffer.buffer(json.writeValueAsBytes(payload));
+    } catch (JsonProcessingException exception) {
+      recordUnserializable(endpoint, exception);
+      onFailure.accept(UpstreamFailure.CONNECT_FAILED);
       return Promise.<HttpClientResponse>promise().future();
     }
-    return http.connect(endpoint, HttpMethod.POST, path, fresh)
+    return http.connect(endpoint, HttpMethod.POST, path, newConnection)
         .compose(
             request -> {
               if (!call.attach(request)) {
@@ -239,16 +246,16 @@
               request.putHeader("content-type", "application/json");
               return http.send(endpoint, request, body);
             })
-        .onFailure(cause -> failed.accept(UpstreamCallException.failureOf(cause)));
+        .onFailure(cause -> onFailure.accept(UpstreamCallException.failureOf(cause)));
   }
 
   /**
    * Guards against the failure in which a fault of this program looks like upstreams that do not
    * answer: nothing was sent, which is all that the request has to know, but nobody would be told.
    */
-  private void noteUnwritable(UpstreamEndpoint endpoint, JsonProcessingException cause) {
-    unwritableOrders.increment();
-    if (unwritableSeen.compareAndSet(false, true)) {
+  private void recordUnserializable(UpstreamEndpoint endpoint, JsonProcessingException cause) {
+    unserializableRequests.increment();
+    if (unserializableLogged.compareAndSet(false, true)) {
       LOG.atError()
           .addKeyValue("upstream", endpoint.name())
           .setCause(cause)
@@ -257,10 +264,10 @@
   }
 
   private static Consumer<UpstreamFailure> once(
-      UpstreamCall call, Consumer<UpstreamFailure> failed) {
+      UpstreamCall call, Consumer<UpstreamFailure> onFailure) {
     return failure -> {
       if (call.finish()) {
-        failed.accept(failure);
+        onFailure.accept(failure);
       }
     };
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/PlainClient.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/PlainClient.java
@@ -49,42 +49,42 @@
   /**
    * Sends a request.
    *
-   * @param fresh whether it may run only once, so that it needs a connection of its own
-   * @param answered called with the whole answer, at most once
-   * @param failed called with the failure, at most once and not after an answer
+   * @param newConnection whether it may run only once, so that it needs a connection of its own
+   * @param onResponse called with the whole answer, at most once
+   * @param onFailure called with the failure, at most once and not after an answer
    */
   public UpstreamCall send(
       UpstreamEndpoint endpoint,
-      PlainRequest order,
-      boolean fresh,
-      Consumer<PlainResponse> answered,
-      Consumer<UpstreamFailure> failed) {
+      PlainRequest request,
+      boolean newConnection,
+      Consumer<PlainResponse> onResponse,
+      Consumer<UpstreamFailure> onFailure) {
     UpstreamCall call = new UpstreamCall();
-    Consumer<UpstreamFailure> failedOnce =
+    Consumer<UpstreamFailure> onFailureOnce =
         failure -> {
           if (call.finish()) {
-            failed.accept(failure);
+            onFailure.accept(failure);
           }
         };
-    http.connect(endpoint, HttpMethod.valueOf(order.method()), order.path(), fresh)
+    http.connect(endpoint, HttpMethod.valueOf(request.method()), request.path(), newConnection)
         .compose(
-            request -> {
-              if (!call.attach(request)) {
+            httpRequest -> {
+              if (!call.attach(httpRequest)) {
                 return Promise.<HttpClientResponse>promise().future();
               }
-              copyEndToEnd(order.headers(), request.headers());
-              request.putHeader("marjoramsail-request", order.request().value());
-              request.putHeader("marjoramsail-attempt", Integer.toString(order.attempt()));
-              return http.send(endpoint, request, order.body());
+              copyEndToEnd(request.headers(), httpRequest.headers());
+              httpRequest.putHeader("marjoramsail-request", request.request().value());
+              httpRequest.putHeader("marjoramsail-attempt", Integer.toString(request.attempt()));
+              return http.send(endpoint, httpRequest, request.body());
             })
-        .onFailure(cause -> failedOnce.accept(UpstreamCallException.failureOf(cause)))
+        .onFailure(cause -> onFailureOnce.accept(UpstreamCallException.failureOf(cause)))
         .onSuccess(
             response ->
                 UpstreamHttp.collect(
                     response,
-                    http.limits().maximumAnswerBytes(),
-                    body -> whole(response, body, call, answered, failedOnce),
-                    failedOnce));
+                    http.limits().maximumResponseBytes(),
+                    body -> handleResponse(response, body, call, onResponse, onFailureOnce),
+                    onFailureOnce));
     return call;
   }
 
@@ -103,23 +103,23 @@
             });
   }
 
-  private static void whole(
+  private static void handleResponse(
       HttpClientResponse response,
       Buffer body,
       UpstreamCall call,
-      Consumer<PlainResponse> answered,
-      Consumer<UpstreamFailure> failed) {
+      Consumer<PlainResponse> onResponse,
+      Consumer<UpstreamFailure> onFailure) {
     boolean notRun =
         response.statusCode() == UNAVAILABLE
             && RunState.NOT_RUN.code().equals(response.getHeader(RUN_HEADER));
     if (notRun) {
-      failed.accept(UpstreamFailure.REFUSED);
+      onFailure.accept(UpstreamFailure.REFUSED);
       return;
     }
     if (call.finish()) {
       MultiMap headers = MultiMap.caseInsensitiveMultiMap();
       copyEndToEnd(response.headers(), headers);
-      answered.accept(new PlainResponse(response.statusCode(), headers, body));
+      onResponse.accept(new PlainResponse(response.statusCode(), headers, body));
     }
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamHttp.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamHttp.java
@@ -25,7 +25,7 @@
   private static final int OK = 200;
 
   private final HttpClient pooled;
-  private final HttpClient single;
+  private final HttpClient unpooled;
   private final UpstreamLimits limits;
 
   /** Opens the clients; they are closed with {@code vertx}. */
@@ -33,7 +33,7 @@
     this.limits = limits;
     PoolOptions pool = new PoolOptions().setHttp1MaxSize(limits.maximumConnections());
     this.pooled = vertx.createHttpClient(options(limits).setKeepAlive(true), pool);
-    this.single = vertx.createHttpClient(options(limits).setKeepAlive(false), pool);
+    this.unpooled = vertx.createHttpClient(options(limits).setKeepAlive(false), pool);
   }
 
   private static HttpClientOptions options(UpstreamLimits limits) {
@@ -50,17 +50,17 @@
   /**
    * Connects; a failure proves that nothing was sent.
    *
-   * @param fresh whether the connection has to be new
+   * @param newConnection whether the connection has to be new
    */
   Future<HttpClientRequest> connect(
-      UpstreamEndpoint endpoint, HttpMethod method, String path, boolean fresh) {
+      UpstreamEndpoint endpoint, HttpMethod method, String path, boolean newConnection) {
     RequestOptions options =
         new RequestOptions()
             .setHost(endpoint.address())
             .setPort(endpoint.port())
             .setMethod(method)
             .setURI(path);
-    return (fresh ? single : pooled)
+    return (newConnection ? unpooled : pooled)
         .request(options)
         .recover(
             cause ->
@@ -118,8 +118,8 @@
   static void collect(
       HttpClientResponse response,
       int maximumBytes,
-      Consumer<Buffer> whole,
-      Consumer<UpstreamFailure> failed) {
+      Consumer<Buffer> onBody,
+      Consumer<UpstreamFailure> onFailure) {
     Buffer body = Buffer.buffer();
     response.handler(
         bytes -> {
@@ -127,10 +127,10 @@
           if (body.length() > maximumBytes) {
             response.handler(null);
             response.request().reset();
-            failed.accept(UpstreamFailure.MALFORMED);
+            onFailure.accept(UpstreamFailure.MALFORMED);
           }
         });
-    response.exceptionHandler(cause -> failed.accept(UpstreamFailure.CUT));
-    response.endHandler(ended -> whole.accept(body));
+    response.exceptionHandler(cause -> onFailure.accept(UpstreamFailure.CUT));
+    response.endHandler(ended -> onBody.accept(body));
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamLimits.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamLimits.java
@@ -7,14 +7,14 @@
  * @param connectTimeoutMillis how long a connection may take to come about
  * @param controlTimeoutMillis how long status calls, cancels and listings may take
  * @param maximumLineBytes the longest frame of a stream
- * @param maximumAnswerBytes the longest answer of a plain service
+ * @param maximumResponseBytes the longest answer of a plain service
  */
 public record UpstreamLimits(
     int maximumConnections,
     int connectTimeoutMillis,
     long controlTimeoutMillis,
     int maximumLineBytes,
-    int maximumAnswerBytes) {
+    int maximumResponseBytes) {
 
   /** The bounds that daemons use where their settings say nothing else. */
   public static UpstreamLimits defaults() {
--- a/daemon/src/test/java/org/marjoramsail/daemon/upstream/EngineClientTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/upstream/EngineClientTest.java
@@ -34,7 +34,7 @@
    * its orders, and neither the log nor a counter says so.
    */
   @Test
-  void anOrderThatCannotBeWrittenIsNotSentAndIsLoggedOnceAndCounted() {
+  void aRequestThatCannotBeSerializedIsNotSentAndIsLoggedOnceAndCounted() {
     Logger logger = (Logger) LoggerFactory.getLogger(EngineClient.class);
     ListAppender<ILoggingEvent> lines = new ListAppender<>();
     lines.start();
@@ -58,7 +58,7 @@
 
   private static void decode(EngineClient engines, List<UpstreamFailure> failures) {
     UpstreamEndpoint endpoint = new UpstreamEndpoint(new UpstreamName("decode-1"), "127.0.0.1", 1);
-    DecodeRequest order =
+    DecodeRequest request =
         new DecodeRequest(
             new RequestId("q1"),
             1,
@@ -73,7 +73,7 @@
             Optional.of(new KvLocation("127.0.0.1", 1, "kv-1")));
     engines.decode(
         endpoint,
-        order,
+        request,
         false,
         new DecodeListener() {
           @Override
