--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/OrphanCanceller.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/OrphanCanceller.java
@@ -23,14 +23,14 @@
 public final class OrphanCanceller {
 
   /** For how long a dead run's attempts are looked for, in milliseconds. */
-  private static final long SEARCH_MILLIS = 60_000;
+  private static final long CANCEL_PERIOD_MILLIS = 60_000;
 
-  private static final class Gone {
+  private static final class FailedDaemon {
     private final long untilMillis;
     private final Set<UpstreamName> confirmed = new HashSet<>();
-    private final Set<UpstreamName> asking = new HashSet<>();
+    private final Set<UpstreamName> pending = new HashSet<>();
 
-    Gone(long untilMillis) {
+    FailedDaemon(long untilMillis) {
       this.untilMillis = untilMillis;
     }
   }
@@ -39,8 +39,8 @@
   private final WatchedUpstreams upstreams;
   private final Clock clock;
   private final Counter cancelled;
-  private final Counter failures;
-  private final Map<DaemonId, Gone> gone = new HashMap<>();
+  private final Counter cancelFailures;
+  private final Map<DaemonId, FailedDaemon> failedDaemons = new HashMap<>();
 
   /** Looks for nobody yet. */
   public OrphanCanceller(
@@ -49,45 +49,50 @@
     this.upstreams = upstreams;
     this.clock = clock;
     this.cancelled = meters.counter("marjoramsail.orphans.cancelled");
-    this.failures = meters.counter("marjoramsail.orphans.cancel.failures");
+    this.cancelFailures = meters.counter("marjoramsail.orphans.cancel.failures");
   }
 
   /** Records that a run of a daemon is dead. */
   public synchronized void daemonFailed(DaemonId daemon) {
-    gone.put(daemon, new Gone(clock.millis() + SEARCH_MILLIS));
+    failedDaemons.put(daemon, new FailedDaemon(clock.millis() + CANCEL_PERIOD_MILLIS));
   }
 
   /** Asks the engines that have not confirmed yet; called some times a second. */
   public synchronized void tick() {
-    gone.values().removeIf(one -> one.untilMillis <= clock.millis());
-    if (gone.isEmpty()) {
+    failedDaemons.values().removeIf(failedDaemon -> failedDaemon.untilMillis <= clock.millis());
+    if (failedDaemons.isEmpty()) {
       return;
     }
     for (UpstreamDefinition upstream : upstreams.watched()) {
       if (upstream.role() != UpstreamRole.PLAIN) {
-        gone.forEach((daemon, state) -> ask(daemon, state, upstream));
+        failedDaemons.forEach(
+            (daemon, failedDaemon) -> cancelAttempts(daemon, failedDaemon, upstream));
       }
     }
   }
 
-  private void ask(DaemonId daemon, Gone state, UpstreamDefinition upstream) {
+  private void cancelAttempts(
+      DaemonId daemon, FailedDaemon failedDaemon, UpstreamDefinition upstream) {
     UpstreamName name = upstream.name();
-    if (state.confirmed.contains(name) || !state.asking.add(name)) {
+    if (failedDaemon.confirmed.contains(name) || !failedDaemon.pending.add(name)) {
       return;
     }
     engines
         .cancelAll(UpstreamEndpoint.of(upstream), daemon)
-        .onComplete(count -> answered(state, name, count), failure -> failed(state, name));
+        .onComplete(
+            count -> cancelConfirmed(failedDaemon, name, count),
+            failure -> cancelFailed(failedDaemon, name));
   }
 
-  private synchronized void answered(Gone state, UpstreamName name, int count) {
-    state.asking.remove(name);
-    state.confirmed.add(name);
+  private synchronized void cancelConfirmed(
+      FailedDaemon failedDaemon, UpstreamName name, int count) {
+    failedDaemon.pending.remove(name);
+    failedDaemon.confirmed.add(name);
     cancelled.increment(count);
   }
 
-  private synchronized void failed(Gone state, UpstreamName name) {
-    state.asking.remove(name);
-    failures.increment();
+  private synchronized void cancelFailed(FailedDaemon failedDaemon, UpstreamName name) {
+    failedDaemon.pending.remove(name);
+    cancelFailures.increment();
   }
 }
--- a/daemon/src/test/java/org/marjoramsail/daemon/upstream/OrphanCancellerTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/upstream/OrphanCancellerTest.java
@@ -30,7 +30,7 @@
   private static final UpstreamName NAME = new UpstreamName("decode-1");
 
   /** So slow that nothing which was begun ends within the test. */
-  private static final double STANDSTILL = 1e7;
+  private static final double STANDSTILL_FACTOR = 1e7;
 
   private final Vertx vertx = Vertx.vertx();
   private final SimpleMeterRegistry meters = new SimpleMeterRegistry();
@@ -52,7 +52,7 @@
   @BeforeEach
   void start() {
     int port = Waits.get(engine.start());
-    engine.slowDown(STANDSTILL);
+    engine.slowDown(STANDSTILL_FACTOR);
     definition =
         new UpstreamDefinition(
             NAME, "asistente", UpstreamRole.DECODE, "127.0.0.1", port, "a", "r", 20, true, false);
@@ -65,7 +65,7 @@
   }
 
   private void generate(String daemon, long incarnation, String request) {
-    DecodeRequest order =
+    DecodeRequest decodeRequest =
         new DecodeRequest(
             new RequestId(request),
             1,
@@ -80,7 +80,7 @@
             Optional.empty());
     engines.decode(
         UpstreamEndpoint.of(definition),
-        order,
+        decodeRequest,
         false,
         new DecodeListener() {
           @Override
@@ -101,7 +101,7 @@
    * daemons go on.
    */
   @Test
-  void whatADeadRunLeftIsCancelledUntilTheEngineConfirmsAndNothingElse() {
+  void onlyTheAttemptsOfAFailedIncarnationAndEarlierOnesAreCancelledUntilTheEngineConfirms() {
     generate("entry-1", 6, "q1");
     generate("entry-1", 7, "q2");
     generate("entry-1", 8, "q3");
