--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/CacheEventPoller.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/CacheEventPoller.java
@@ -45,8 +45,8 @@
   }
 
   private synchronized CacheChange advance(UpstreamName name, CacheEventList list) {
-    Position known = position(name);
-    boolean restarted = known.incarnation() != 0 && known.incarnation() != list.incarnation();
+    Position previous = position(name);
+    boolean restarted = previous.incarnation() != 0 && previous.incarnation() != list.incarnation();
     positions.put(name, new Position(list.incarnation(), restarted ? 0 : list.next()));
     return new CacheChange(name, restarted, list);
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/LineParser.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/LineParser.java
@@ -12,35 +12,35 @@
 final class LineParser {
 
   private final int maximumLineBytes;
-  private final Consumer<Buffer> lines;
-  private Buffer rest = Buffer.buffer();
-  private int searchedBytes;
+  private final Consumer<Buffer> lineHandler;
+  private Buffer buffer = Buffer.buffer();
+  private int scannedBytes;
 
-  LineParser(int maximumLineBytes, Consumer<Buffer> lines) {
+  LineParser(int maximumLineBytes, Consumer<Buffer> lineHandler) {
     this.maximumLineBytes = maximumLineBytes;
-    this.lines = lines;
+    this.lineHandler = lineHandler;
   }
 
   /** Handles the next bytes; false when a line is over the limit. */
   boolean feed(Buffer bytes) {
-    rest.appendBuffer(bytes);
+    buffer.appendBuffer(bytes);
     int lineStart = 0;
-    for (int position = searchedBytes; position < rest.length(); position++) {
-      if (rest.getByte(position) == '\n') {
-        emit(rest.slice(lineStart, position));
+    for (int position = scannedBytes; position < buffer.length(); position++) {
+      if (buffer.getByte(position) == '\n') {
+        emit(buffer.slice(lineStart, position));
         lineStart = position + 1;
       }
     }
     if (lineStart > 0) {
-      rest = rest.getBuffer(lineStart, rest.length());
+      buffer = buffer.getBuffer(lineStart, buffer.length());
     }
-    searchedBytes = rest.length();
-    return rest.length() <= maximumLineBytes;
+    scannedBytes = buffer.length();
+    return buffer.length() <= maximumLineBytes;
   }
 
   private void emit(Buffer line) {
     if (line.length() > 0) {
-      lines.accept(line);
+      lineHandler.accept(line);
     }
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamObserver.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamObserver.java
@@ -11,9 +11,9 @@
    * Handles the load of an upstream.
    *
    * @param report what it said
-   * @param askedAtMillis when it was asked, on the clock of this daemon
+   * @param requestedAtMillis when it was asked, on the clock of this daemon
    */
-  void load(LoadReport report, long askedAtMillis);
+  void load(LoadReport report, long requestedAtMillis);
 
   /** Takes all that an upstream said of itself, for orders and operators. */
   void status(UpstreamDefinition definition, UpstreamStatus status);
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamStatus.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamStatus.java
@@ -66,10 +66,10 @@
     if (role == null) {
       return Optional.empty();
     }
-    String wanted = role.toUpperCase(Locale.ROOT);
-    for (UpstreamRole one : UpstreamRole.values()) {
-      if (one.name().equals(wanted)) {
-        return Optional.of(one);
+    String upperCaseRole = role.toUpperCase(Locale.ROOT);
+    for (UpstreamRole candidate : UpstreamRole.values()) {
+      if (candidate.name().equals(upperCaseRole)) {
+        return Optional.of(candidate);
       }
     }
     return Optional.empty();
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamStatusPoller.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamStatusPoller.java
@@ -22,18 +22,18 @@
  */
 public final class UpstreamStatusPoller {
 
-  private static final long LOOK_MILLIS = 50;
+  private static final long TICK_MILLIS = 50;
   private static final long NO_TIMER = -1;
 
   private final Vertx vertx;
   private final EngineClient engines;
   private final PlainClient plainServices;
-  private final Supplier<List<UpstreamDefinition>> polled;
+  private final Supplier<List<UpstreamDefinition>> polledUpstreams;
   private final PollInterval pollInterval;
   private final Clock clock;
   private final RandomGenerator random;
   private final Map<UpstreamName, Long> dueAtMillis = new HashMap<>();
-  private final Map<UpstreamName, UpstreamDefinition> underWay = new HashMap<>();
+  private final Map<UpstreamName, UpstreamDefinition> inFlight = new HashMap<>();
   private Optional<UpstreamObserver> observer = Optional.empty();
   private long timer = NO_TIMER;
 
@@ -43,7 +43,7 @@
    * @param vertx for its timer
    * @param engines calls model engines
    * @param plainServices calls plain services
-   * @param polled which upstreams to poll now
+   * @param polledUpstreams which upstreams to poll now
    * @param pollInterval how often
    * @param clock tells the time
    * @param random for the jitter
@@ -52,23 +52,23 @@
       Vertx vertx,
       EngineClient engines,
       PlainClient plainServices,
-      Supplier<List<UpstreamDefinition>> polled,
+      Supplier<List<UpstreamDefinition>> polledUpstreams,
       PollInterval pollInterval,
       Clock clock,
       RandomGenerator random) {
     this.vertx = vertx;
     this.engines = engines;
     this.plainServices = plainServices;
-    this.polled = polled;
+    this.polledUpstreams = polledUpstreams;
     this.pollInterval = pollInterval;
     this.clock = clock;
     this.random = random;
   }
 
   /** Starts to poll; the observer comes here, since it may need what needs this poller. */
-  public synchronized void start(UpstreamObserver hearing) {
-    observer = Optional.of(hearing);
-    timer = vertx.setPeriodic(LOOK_MILLIS, fired -> pollDue());
+  public synchronized void start(UpstreamObserver statusObserver) {
+    observer = Optional.of(statusObserver);
+    timer = vertx.setPeriodic(TICK_MILLIS, fired -> pollDue());
   }
 
   /** Stops to poll. */
@@ -81,21 +81,25 @@
 
   /** Asks all that are due; called by its own timer. */
   void pollDue() {
-    List<UpstreamDefinition> all = polled.get();
+    List<UpstreamDefinition> upstreams = polledUpstreams.get();
     long nowMillis = clock.millis();
-    long intervalMillis = pollInterval.intervalMillis(all.size());
+    long intervalMillis = pollInterval.intervalMillis(upstreams.size());
     List<UpstreamDefinition> due;
     synchronized (this) {
-      dueAtMillis.keySet().retainAll(all.stream().map(UpstreamDefinition::name).toList());
-      all.forEach(one -> spread(one.name(), nowMillis, intervalMillis));
-      due = all.stream().filter(one -> dueAtMillis.get(one.name()) <= nowMillis).toList();
-      due.forEach(one -> dueAtMillis.put(one.name(), nowMillis + jittered(intervalMillis)));
+      dueAtMillis.keySet().retainAll(upstreams.stream().map(UpstreamDefinition::name).toList());
+      upstreams.forEach(upstream -> scheduleFirstPoll(upstream.name(), nowMillis, intervalMillis));
+      due =
+          upstreams.stream()
+              .filter(upstream -> dueAtMillis.get(upstream.name()) <= nowMillis)
+              .toList();
+      due.forEach(
+          upstream -> dueAtMillis.put(upstream.name(), nowMillis + jittered(intervalMillis)));
     }
     due.forEach(this::poll);
   }
 
   /** Spreads the first polls over the interval. */
-  private void spread(UpstreamName name, long nowMillis, long intervalMillis) {
+  private void scheduleFirstPoll(UpstreamName name, long nowMillis, long intervalMillis) {
     dueAtMillis.computeIfAbsent(name, unused -> nowMillis + random.nextLong(intervalMillis));
   }
 
@@ -105,32 +109,34 @@
 
   /** Asks one upstream now, for instance since a call to it was cut; nothing before the start. */
   public void poll(UpstreamDefinition definition) {
-    Optional<UpstreamObserver> hearing;
+    Optional<UpstreamObserver> currentObserver;
     synchronized (this) {
-      hearing = observer;
-      if (hearing.isEmpty() || underWay.putIfAbsent(definition.name(), definition) != null) {
+      currentObserver = observer;
+      if (currentObserver.isEmpty()
+          || inFlight.putIfAbsent(definition.name(), definition) != null) {
         return;
       }
     }
-    ask(definition, hearing.get(), clock.millis());
+    requestStatus(definition, currentObserver.get(), clock.millis());
   }
 
-  private void ask(UpstreamDefinition definition, UpstreamObserver hearing, long askedAtMillis) {
+  private void requestStatus(
+      UpstreamDefinition definition, UpstreamObserver statusObserver, long requestedAtMillis) {
     status(definition)
-        .onComplete(done -> ended(definition.name()))
+        .onComplete(result -> requestEnded(definition.name()))
         .onSuccess(
             status -> {
-              hearing.load(status.loadReport(definition), askedAtMillis);
-              hearing.status(definition, status);
+              statusObserver.load(status.loadReport(definition), requestedAtMillis);
+              statusObserver.status(definition, status);
             })
         .onFailure(
             cause ->
-                hearing.unreachable(
+                statusObserver.unreachable(
                     definition.name(), UpstreamCallException.isConnectionRefused(cause)));
   }
 
-  private synchronized void ended(UpstreamName name) {
-    underWay.remove(name);
+  private synchronized void requestEnded(UpstreamName name) {
+    inFlight.remove(name);
   }
 
   private Future<UpstreamStatus> status(UpstreamDefinition definition) {
