--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/AttemptList.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/AttemptList.java
@@ -5,10 +5,10 @@
 import org.marjoramsail.core.model.RequestId;
 
 /**
- * What an engine holds.
+ * Attempts that an engine holds, as it reports them.
  *
- * @param incarnation the run of the engine
- * @param attempts what it holds
+ * @param incarnation incarnation of the engine
+ * @param attempts the attempts
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record AttemptList(long incarnation, List<HeldAttempt> attempts) {
@@ -21,11 +21,11 @@
   /**
    * One attempt that an engine holds.
    *
-   * @param request whose
-   * @param attempt which attempt
+   * @param request identifier of the request
+   * @param attempt number of the attempt
    * @param daemon host name of the daemon that sent it
-   * @param incarnation run of that daemon
-   * @param phase what the engine does with it, in its words
+   * @param incarnation incarnation of that daemon
+   * @param phase current phase, as the engine names it
    */
   @JsonIgnoreProperties(ignoreUnknown = true)
   public record HeldAttempt(
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/CacheEventList.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/CacheEventList.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * What the prefix cache of an engine took in and dropped; late and with gaps.
+ * Changes of the prefix cache of an engine; they arrive late and may have gaps.
  *
- * @param incarnation the run of the engine
- * @param next the sequence number to ask after
- * @param events in the order of their sequence numbers
+ * @param incarnation incarnation of the engine
+ * @param next sequence number after which to poll next
+ * @param events the changes in the order of their sequence numbers
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record CacheEventList(long incarnation, long next, List<CacheEvent> events) {
@@ -21,9 +21,9 @@
   /**
    * One change of a prefix cache.
    *
-   * @param sequence rises by one with each event, so that a gap shows
-   * @param kind stored, removed or cleared
-   * @param hash the block's chained hash; meaningless when everything was cleared
+   * @param sequence increases by one with each event, which makes gaps detectable
+   * @param kind one of stored, removed or cleared
+   * @param hash the block's chained hash; undefined for the kind cleared
    */
   @JsonIgnoreProperties(ignoreUnknown = true)
   public record CacheEvent(long sequence, String kind, long hash) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/CacheEventPoller.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/CacheEventPoller.java
@@ -7,20 +7,20 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * Follows the prefix caches of engines; whoever keeps the index says when to ask.
+ * Polls the prefix cache changes of engines; the owner of the prefix index triggers each poll.
  *
- * <p>It remembers the next sequence number of each engine. A new incarnation starts again from zero
- * and is told as such, since everything known of the old one is gone.
+ * <p>It stores the next sequence number of each engine. A new incarnation starts from zero and is
+ * reported as a restart, since its prefix cache is empty.
  */
 public final class CacheEventPoller {
 
   private record Position(long incarnation, long next) {}
 
   /**
-   * What one poll found.
+   * Result of one poll.
    *
    * @param upstream the engine
-   * @param restarted whether the engine has started anew since the last poll
+   * @param restarted whether the engine has restarted since the last poll
    * @param list the events, in order, with gaps
    */
   public record CacheChange(UpstreamName upstream, boolean restarted, CacheEventList list) {}
@@ -28,12 +28,12 @@
   private final EngineClient engines;
   private final Map<UpstreamName, Position> positions = new HashMap<>();
 
-  /** Creates an instance with what it asks with. */
+  /** Creates a poller that calls engines through the given client. */
   public CacheEventPoller(EngineClient engines) {
     this.engines = engines;
   }
 
-  /** Asks one engine for what is new. */
+  /** Polls the changes of one engine since the last poll. */
   public Future<CacheChange> poll(UpstreamDefinition definition) {
     return engines
         .cacheEvents(UpstreamEndpoint.of(definition), position(definition.name()).next())
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/CancelledCount.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/CancelledCount.java
@@ -2,6 +2,6 @@
 
 import com.fasterxml.jackson.annotation.JsonIgnoreProperties;
 
-/** How many attempts a mass cancel found. */
+/** Response of an engine to a bulk cancel: the number of cancelled attempts. */
 @JsonIgnoreProperties(ignoreUnknown = true)
 record CancelledCount(int cancelled) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/DecodeFrame.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/DecodeFrame.java
@@ -6,14 +6,14 @@
 /**
  * One line of a decode stream.
  *
- * @param request whose
- * @param attempt which attempt
+ * @param request identifier of the request
+ * @param attempt number of the attempt
  * @param index index of the token, or the number of tokens in the last frame
- * @param text text of the token; absent in the last frame
+ * @param text the text of the token; absent in the last frame
  * @param done whether it is the last frame
- * @param finishReason why the engine stopped; in the last frame
- * @param promptTokens length of the prompt; in the last frame
- * @param cachedTokens how much of it was cached; in the last frame
+ * @param finishReason why the engine stopped; only in the last frame
+ * @param promptTokens length of the prompt; only in the last frame
+ * @param cachedTokens number of cached prompt tokens; only in the last frame
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record DecodeFrame(
@@ -26,7 +26,7 @@
     int promptTokens,
     int cachedTokens) {
 
-  /** Whether every field that its kind of frame needs is there. */
+  /** Returns whether all fields that this kind of frame requires are present. */
   boolean isComplete() {
     return request != null && index >= 0 && (done ? finishReason != null : text != null);
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/DecodeListener.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/DecodeListener.java
@@ -2,12 +2,12 @@
 
 import org.marjoramsail.core.outcome.UpstreamFailure;
 
-/** Receives a decode stream: frames, then nothing after the last frame, or one failure. */
+/** Receives the frames of a decode stream, up to the last frame or one failure. */
 public interface DecodeListener {
 
-  /** Handles one frame, the last included. */
+  /** Handles one frame, including the last one. */
   void frame(DecodeFrame frame);
 
-  /** Records that the stream failed; nothing follows. */
+  /** Handles the failure of the stream; no further call follows. */
   void failed(UpstreamFailure failure);
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/DecodeRequest.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/DecodeRequest.java
@@ -5,19 +5,19 @@
 import org.marjoramsail.core.model.RequestId;
 
 /**
- * The body of a decode call.
+ * Body of a decode request to an engine.
  *
- * @param request whose
- * @param attempt which attempt
+ * @param request identifier of the request
+ * @param attempt number of the attempt
  * @param daemon host name of this daemon
- * @param incarnation run of this daemon
+ * @param incarnation incarnation of this daemon
  * @param model the model
- * @param priority zero for the most urgent
+ * @param priority zero is the most urgent
  * @param prompt the prompt
- * @param promptTokens its length
- * @param maximumTokens how many tokens the answer has at most
- * @param startIndex index of the first token that is wanted
- * @param kv where the KV cache is
+ * @param promptTokens length of the prompt
+ * @param maximumTokens maximum number of output tokens
+ * @param startIndex index of the first token to return
+ * @param kv location of the KV cache, if it was prefilled elsewhere
  */
 @JsonInclude(JsonInclude.Include.NON_ABSENT)
 public record DecodeRequest(
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/EngineClient.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/EngineClient.java
@@ -39,11 +39,11 @@
   private final AtomicBoolean unserializableLogged = new AtomicBoolean();
 
   /**
-   * Creates an instance with what it calls with.
+   * Creates a client.
    *
-   * @param http the connections
-   * @param json a mapper that knows {@code Optional}
-   * @param meters counts orders that cannot be written
+   * @param http sends the HTTP requests
+   * @param json a mapper that supports {@code Optional}
+   * @param meters counts requests that cannot be serialized
    */
   public EngineClient(UpstreamHttp http, ObjectMapper json, MeterRegistry meters) {
     this.http = http;
@@ -52,10 +52,10 @@
   }
 
   /**
-   * Has an engine read a prompt.
+   * Sends a prefill request to an engine.
    *
-   * @param onResponse called with the answer, at most once
-   * @param onFailure called with the failure, at most once and not after an answer
+   * @param onResponse called with the response, at most once
+   * @param onFailure called with the failure, at most once and not after a response
    */
   public UpstreamCall prefill(
       UpstreamEndpoint endpoint,
@@ -98,11 +98,10 @@
   }
 
   /**
-   * Has an engine generate.
+   * Sends a decode request to an engine, which streams its output.
    *
-   * @param newConnection whether the request may run only once, so that it needs a connection of
-   *     its own
-   * @param listener hears the stream
+   * @param newConnection whether to use a new connection, as for a request that may run only once
+   * @param listener receives the stream
    */
   public UpstreamCall decode(
       UpstreamEndpoint endpoint,
@@ -167,25 +166,27 @@
     listener.frame(frame);
   }
 
-  /** Cancels an attempt; a success says that the engine holds nothing of it. */
+  /** Cancels an attempt; on success the engine holds nothing of it. */
   public Future<Void> cancel(UpstreamEndpoint endpoint, RequestId request, int attempt) {
     String path = ATTEMPTS + "/" + encode(request.value()) + "/" + attempt;
     return http.control(endpoint, HttpMethod.DELETE, path).mapEmpty();
   }
 
-  /** All that an engine holds. */
+  /** Returns all attempts that an engine holds. */
   public Future<AttemptList> attempts(UpstreamEndpoint endpoint) {
     return read(endpoint, ATTEMPTS, AttemptList.class);
   }
 
-  /** What an engine holds of one run of a daemon. */
+  /** Returns the attempts that an engine holds for one incarnation of a daemon. */
   public Future<AttemptList> attempts(UpstreamEndpoint endpoint, DaemonId daemon) {
     String path =
         ATTEMPTS + "?daemon=" + encode(daemon.host()) + "&incarnation=" + daemon.incarnation();
     return read(endpoint, path, AttemptList.class);
   }
 
-  /** Cancels all attempts of this and earlier runs of a daemon; gives how many there were. */
+  /**
+   * Cancels the attempts of this and earlier incarnations of a daemon, and returns their number.
+   */
   public Future<Integer> cancelAll(UpstreamEndpoint endpoint, DaemonId latest) {
     String path =
         ATTEMPTS
@@ -198,12 +199,12 @@
         .map(CancelledCount::cancelled);
   }
 
-  /** The load of an engine. */
+  /** Returns the status of an engine. */
   public Future<UpstreamStatus> status(UpstreamEndpoint endpoint) {
     return read(endpoint, "/v1/status", UpstreamStatus.class);
   }
 
-  /** What the prefix cache of an engine took in and dropped after a sequence number. */
+  /** Returns the changes of the prefix cache of an engine after a sequence number. */
   public Future<CacheEventList> cacheEvents(UpstreamEndpoint endpoint, long after) {
     return read(endpoint, "/v1/cache-events?after=" + after, CacheEventList.class);
   }
@@ -250,8 +251,8 @@
   }
 
   /**
-   * Guards against the failure in which a fault of this program looks like upstreams that do not
-   * answer: nothing was sent, which is all that the request has to know, but nobody would be told.
+   * Guards against the failure in which a serialization fault of this daemon looks like unreachable
+   * upstreams: the request fails as if not connected, so only this log entry and counter show it.
    */
   private void recordUnserializable(UpstreamEndpoint endpoint, JsonProcessingException cause) {
     unserializableRequests.increment();
@@ -259,7 +260,7 @@
       LOG.atError()
           .addKeyValue("upstream", endpoint.name())
           .setCause(cause)
-          .log("an order cannot be written as JSON; further ones are only counted");
+          .log("a request cannot be serialized as JSON; further failures are only counted");
     }
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/KvLocation.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/KvLocation.java
@@ -1,9 +1,9 @@
 package org.marjoramsail.daemon.upstream;
 
 /**
- * Where a decode engine fetches a KV cache.
+ * Location from which a decode engine fetches a KV cache.
  *
- * @param address IP number of the prefill engine
+ * @param address IP address of the prefill engine
  * @param port its TCP port
  * @param handle name of the KV cache
  */
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/LineParser.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/LineParser.java
@@ -4,10 +4,10 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream of bytes into lines, however the network has split them.
+ * Splits a byte stream into lines, independent of the boundaries of network reads.
  *
- * <p>Lines are cut before they are decoded, so that a character split between two reads stays
- * whole. A line over the limit ends the stream.
+ * <p>Lines are split before they are decoded, so that a character split between two reads is
+ * decoded correctly. A line over the limit ends the stream.
  */
 final class LineParser {
 
@@ -21,7 +21,7 @@
     this.lineHandler = lineHandler;
   }
 
-  /** Handles the next bytes; false when a line is over the limit. */
+  /** Parses the next bytes, and returns false if a line is over the limit. */
   boolean feed(Buffer bytes) {
     buffer.appendBuffer(bytes);
     int lineStart = 0;
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/OrphanCanceller.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/OrphanCanceller.java
@@ -13,16 +13,16 @@
 import org.marjoramsail.core.time.Clock;
 
 /**
- * Cancels what dead daemons left on engines.
+ * Cancels the attempts that failed daemons have left on engines.
  *
- * <p>Guards against the failure in which a daemon dies or freezes with its connections half open:
- * its requests go on generating for callers that are gone, and decode slots stay held. The owner of
- * each engine's shard cancels everything of the dead run there and repeats that until the engine
- * confirms; a run that was only paused sees its streams cut and tries again as after any cut.
+ * <p>Guards against the failure in which a daemon crashes or freezes with its connections half
+ * open: engines continue to generate for disconnected callers, and decode slots stay occupied. The
+ * owner of each engine's shard cancels all attempts of the failed incarnation until the engine
+ * confirms. A daemon that was only paused retries, as after any interrupted stream.
  */
 public final class OrphanCanceller {
 
-  /** For how long a dead run's attempts are looked for, in milliseconds. */
+  /** Time during which the attempts of a failed incarnation are cancelled, in milliseconds. */
   private static final long CANCEL_PERIOD_MILLIS = 60_000;
 
   private static final class FailedDaemon {
@@ -42,7 +42,7 @@
   private final Counter cancelFailures;
   private final Map<DaemonId, FailedDaemon> failedDaemons = new HashMap<>();
 
-  /** Looks for nobody yet. */
+  /** Creates a canceller without failed daemons. */
   public OrphanCanceller(
       EngineClient engines, WatchedUpstreams upstreams, Clock clock, MeterRegistry meters) {
     this.engines = engines;
@@ -52,12 +52,12 @@
     this.cancelFailures = meters.counter("marjoramsail.orphans.cancel.failures");
   }
 
-  /** Records that a run of a daemon is dead. */
+  /** Records that an incarnation of a daemon has failed. */
   public synchronized void daemonFailed(DaemonId daemon) {
     failedDaemons.put(daemon, new FailedDaemon(clock.millis() + CANCEL_PERIOD_MILLIS));
   }
 
-  /** Asks the engines that have not confirmed yet; called some times a second. */
+  /** Sends cancels to the engines that have not confirmed; called several times a second. */
   public synchronized void tick() {
     failedDaemons.values().removeIf(failedDaemon -> failedDaemon.untilMillis <= clock.millis());
     if (failedDaemons.isEmpty()) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/PlainClient.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/PlainClient.java
@@ -18,7 +18,7 @@
 /** Calls plain services. Handlers run on the Vert.x context of the call. */
 public final class PlainClient {
 
-  /** Headers that belong to one connection and are not passed on. */
+  /** Headers that apply to one connection only and are not forwarded. */
   private static final Set<String> HOP_BY_HOP =
       Set.of(
           "connection",
@@ -40,7 +40,7 @@
   private final UpstreamHttp http;
   private final ObjectMapper json;
 
-  /** Creates an instance with what it calls with. */
+  /** Creates a client. */
   public PlainClient(UpstreamHttp http, ObjectMapper json) {
     this.http = http;
     this.json = json;
@@ -49,9 +49,9 @@
   /**
    * Sends a request.
    *
-   * @param newConnection whether it may run only once, so that it needs a connection of its own
-   * @param onResponse called with the whole answer, at most once
-   * @param onFailure called with the failure, at most once and not after an answer
+   * @param newConnection whether to use a new connection, as for a request that may run only once
+   * @param onResponse called with the complete response, at most once
+   * @param onFailure called with the failure, at most once and not after a response
    */
   public UpstreamCall send(
       UpstreamEndpoint endpoint,
@@ -88,7 +88,7 @@
     return call;
   }
 
-  /** The load of a plain service. */
+  /** Returns the status of a plain service. */
   public Future<UpstreamStatus> status(UpstreamEndpoint endpoint) {
     return http.control(endpoint, HttpMethod.GET, "/-/status")
         .compose(
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/PlainRequest.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/PlainRequest.java
@@ -7,11 +7,11 @@
 /**
  * A request for a plain service.
  *
- * @param request whose
- * @param attempt which attempt
+ * @param request identifier of the request
+ * @param attempt number of the attempt
  * @param method HTTP method
- * @param path path and query below the service
- * @param headers the caller's headers that are passed on
+ * @param path path and query, relative to the service
+ * @param headers the caller's headers to forward
  * @param body the caller's body
  */
 public record PlainRequest(
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/PlainResponse.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/PlainResponse.java
@@ -4,10 +4,10 @@
 import io.vertx.core.buffer.Buffer;
 
 /**
- * The whole answer of a plain service.
+ * Complete response of a plain service.
  *
  * @param status HTTP status
- * @param headers its headers that are passed on
- * @param body its body
+ * @param headers the headers to forward
+ * @param body the body
  */
 public record PlainResponse(int status, MultiMap headers, Buffer body) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/PrefillRequest.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/PrefillRequest.java
@@ -3,14 +3,14 @@
 import org.marjoramsail.core.model.RequestId;
 
 /**
- * The body of a prefill call.
+ * Body of a prefill request to an engine.
  *
- * @param request whose
- * @param attempt which attempt
+ * @param request identifier of the request
+ * @param attempt number of the attempt
  * @param daemon host name of this daemon
- * @param incarnation run of this daemon
+ * @param incarnation incarnation of this daemon
  * @param model the model
- * @param priority zero for the most urgent
+ * @param priority zero is the most urgent
  * @param prompt the prompt
  */
 public record PrefillRequest(
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/PrefillResponse.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/PrefillResponse.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.annotation.JsonIgnoreProperties;
 
 /**
- * The answer of a prefill call.
+ * Response of an engine to a prefill request.
  *
  * @param handle name of the KV cache
  * @param promptTokens length of the prompt
- * @param cachedTokens how much of it was cached
- * @param tookMillis how long it took
- * @param lifetimeMillis how long the KV cache lives
+ * @param cachedTokens number of cached prompt tokens
+ * @param tookMillis duration of the prefill
+ * @param lifetimeMillis time until the KV cache expires
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record PrefillResponse(
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/RefusalBody.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/RefusalBody.java
@@ -8,10 +8,10 @@
 import org.marjoramsail.core.outcome.UpstreamFailure;
 
 /**
- * What an engine says when it refuses.
+ * Body of a refusal by an engine.
  *
- * @param reason why
- * @param run whether it ran the request
+ * @param reason the reason for the refusal
+ * @param run whether the engine ran the request, as a code of {@link RunState}
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 record RefusalBody(String reason, String run) {
@@ -21,7 +21,7 @@
   private static final int GONE = 410;
   private static final int BAD_GATEWAY = 502;
 
-  /** What an answer other than 200 proves. */
+  /** Returns the failure that a response other than 200 indicates. */
   static UpstreamFailure failure(ObjectMapper json, int status, Buffer body) {
     RefusalBody refusal;
     try {
@@ -33,7 +33,7 @@
   }
 
   private UpstreamFailure failure(int status) {
-    // An engine answers 404 before it does anything, since it does not have the model.
+    // An engine responds with 404 before it runs anything, since it does not have the model.
     if (!RunState.NOT_RUN.code().equals(run) && status != NOT_FOUND) {
       return UpstreamFailure.MALFORMED;
     }
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamCall.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamCall.java
@@ -3,7 +3,7 @@
 import io.vertx.core.http.HttpClientRequest;
 import org.marjoramsail.daemon.request.OpenCall;
 
-/** One call under way; closing it closes its connection, after which nothing more is heard. */
+/** A call in flight; closing it closes its connection, and no callback follows. */
 public final class UpstreamCall implements OpenCall {
 
   private boolean finished;
@@ -12,7 +12,7 @@
 
   UpstreamCall() {}
 
-  /** Handles the HTTP request once there is a connection; false when the call was closed before. */
+  /** Attaches the HTTP request of a new connection; returns false if the call is already closed. */
   synchronized boolean attach(HttpClientRequest connected) {
     request = connected;
     if (closed) {
@@ -21,19 +21,19 @@
     return !closed;
   }
 
-  /** Whether its end was heard, or it was closed. */
+  /** Returns whether the call has ended or was closed. */
   synchronized boolean isFinished() {
     return finished;
   }
 
-  /** Marks the end; true for the first who does. */
+  /** Marks the call as ended; returns true for the first caller only. */
   synchronized boolean finish() {
     boolean first = !finished;
     finished = true;
     return first;
   }
 
-  /** Ends the call from this side; its connection is not used again. */
+  /** Aborts the call; its connection is not reused. */
   @Override
   public void close() {
     HttpClientRequest open;
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamCallException.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamCallException.java
@@ -5,7 +5,7 @@
 import org.marjoramsail.core.failure.MarjoramsailException;
 import org.marjoramsail.core.outcome.UpstreamFailure;
 
-/** A call to an upstream that failed, with what that proves. */
+/** Failure of a call to an upstream, with the kind of the failure. */
 public final class UpstreamCallException extends MarjoramsailException {
 
   private static final long serialVersionUID = 1L;
@@ -25,23 +25,23 @@
     this.failure = failure;
   }
 
-  /** Where the call went. */
+  /** Returns the endpoint of the upstream. */
   public UpstreamEndpoint endpoint() {
     return endpoint;
   }
 
-  /** How it failed. */
+  /** Returns the kind of the failure. */
   public UpstreamFailure failure() {
     return failure;
   }
 
-  /** Whether the host itself refused the connection; a connection that times out is not refused. */
+  /** Returns whether the host refused the connection; false if the connection timed out. */
   static boolean isConnectionRefused(Throwable failure) {
     return failure.getCause() instanceof ConnectException refused
         && !(refused instanceof ConnectTimeoutException);
   }
 
-  /** What a failed future proves; a failure of another type proves nothing. */
+  /** Returns the failure of a call; any other exception counts as an interrupted call. */
   public static UpstreamFailure failureOf(Throwable cause) {
     return cause instanceof UpstreamCallException call ? call.failure() : UpstreamFailure.CUT;
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamDirectory.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamDirectory.java
@@ -9,7 +9,7 @@
 import org.marjoramsail.core.configuration.UpstreamDefinition;
 import org.marjoramsail.core.model.UpstreamName;
 
-/** Finds upstreams by name in the newest configuration, without a search for each request. */
+/** Index of the upstreams of the newest configuration by name. */
 public final class UpstreamDirectory {
 
   private record Index(long revision, Map<UpstreamName, UpstreamDefinition> definitions) {}
@@ -17,13 +17,13 @@
   private final Supplier<Configuration> configuration;
   private volatile Index index;
 
-  /** Creates an instance with where the newest configuration comes from. */
+  /** Creates a directory of the configuration that the supplier returns. */
   public UpstreamDirectory(Supplier<Configuration> configuration) {
     this.configuration = configuration;
     this.index = index(configuration.get());
   }
 
-  /** What the configuration says of an upstream. */
+  /** Returns the definition of an upstream in the newest configuration. */
   public Optional<UpstreamDefinition> definition(UpstreamName name) {
     Configuration newest = configuration.get();
     Index current = index;
@@ -34,7 +34,7 @@
     return Optional.ofNullable(current.definitions().get(name));
   }
 
-  /** Where an upstream listens. */
+  /** Returns the endpoint of an upstream in the newest configuration. */
   public Optional<UpstreamEndpoint> endpoint(UpstreamName name) {
     return definition(name).map(UpstreamEndpoint::of);
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamEndpoint.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamEndpoint.java
@@ -4,15 +4,15 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * Where an upstream listens.
+ * Address and port on which an upstream listens.
  *
- * @param name its name
- * @param address an IP number
- * @param port a TCP port
+ * @param name name of the upstream
+ * @param address IP address
+ * @param port TCP port
  */
 public record UpstreamEndpoint(UpstreamName name, String address, int port) {
 
-  /** The endpoint that the configuration names. */
+  /** Returns the endpoint of a configured upstream. */
   public static UpstreamEndpoint of(UpstreamDefinition definition) {
     return new UpstreamEndpoint(definition.name(), definition.address(), definition.port());
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamHttp.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamHttp.java
@@ -14,11 +14,11 @@
 import org.marjoramsail.core.outcome.UpstreamFailure;
 
 /**
- * HTTP towards upstreams, with what each kind of failure proves.
+ * HTTP client for upstreams that classifies failures by whether a request may have run.
  *
- * <p>Requests that may run only once go through connections that are made for them. Guards against
- * the failure in which a pooled connection is closed by the upstream just as a request is written
- * to it: nothing would tell whether the request ran, although it did not.
+ * <p>Requests that may run only once use new connections. Guards against the failure in which the
+ * upstream closes a pooled connection just as a request is written to it: the request did not run,
+ * but this would be unknown.
  */
 public final class UpstreamHttp {
 
@@ -28,7 +28,7 @@
   private final HttpClient unpooled;
   private final UpstreamLimits limits;
 
-  /** Opens the clients; they are closed with {@code vertx}. */
+  /** Creates the HTTP clients, which are closed with {@code vertx}. */
   public UpstreamHttp(Vertx vertx, UpstreamLimits limits) {
     this.limits = limits;
     PoolOptions pool = new PoolOptions().setHttp1MaxSize(limits.maximumConnections());
@@ -48,9 +48,9 @@
   }
 
   /**
-   * Connects; a failure proves that nothing was sent.
+   * Connects to an upstream; after a failure nothing was sent.
    *
-   * @param newConnection whether the connection has to be new
+   * @param newConnection whether to use a new connection instead of a pooled one
    */
   Future<HttpClientRequest> connect(
       UpstreamEndpoint endpoint, HttpMethod method, String path, boolean newConnection) {
@@ -68,7 +68,7 @@
                     new UpstreamCallException(endpoint, UpstreamFailure.CONNECT_FAILED, cause)));
   }
 
-  /** Sends; a failure proves nothing. */
+  /** Sends a request; after a failure the request may or may not have run. */
   Future<HttpClientResponse> send(
       UpstreamEndpoint endpoint, HttpClientRequest request, Buffer body) {
     return request
@@ -79,7 +79,7 @@
                     new UpstreamCallException(endpoint, UpstreamFailure.CUT, cause)));
   }
 
-  /** Makes a short call that is bounded in time and repeatable, and gives the body of a 200. */
+  /** Makes a short idempotent call with a timeout, and returns the body of a 200 response. */
   Future<Buffer> control(UpstreamEndpoint endpoint, HttpMethod method, String path) {
     RequestOptions options =
         new RequestOptions()
@@ -114,7 +114,7 @@
         new UpstreamCallException(endpoint, UpstreamFailure.MALFORMED, "status " + status));
   }
 
-  /** Collects a body up to a bound; calls back once, with nothing when it was cut or too long. */
+  /** Collects a body up to a maximum size; fails if the body is interrupted or too long. */
   static void collect(
       HttpClientResponse response,
       int maximumBytes,
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamLimits.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamLimits.java
@@ -1,13 +1,13 @@
 package org.marjoramsail.daemon.upstream;
 
 /**
- * Bounds of what this daemon sends to and takes from upstreams.
+ * Limits on connections to upstreams and on their responses.
  *
- * @param maximumConnections connections to one upstream
- * @param connectTimeoutMillis how long a connection may take to come about
- * @param controlTimeoutMillis how long status calls, cancels and listings may take
- * @param maximumLineBytes the longest frame of a stream
- * @param maximumResponseBytes the longest answer of a plain service
+ * @param maximumConnections maximum number of connections to one upstream
+ * @param connectTimeoutMillis timeout for opening a connection
+ * @param controlTimeoutMillis timeout of status calls, cancels and listings
+ * @param maximumLineBytes maximum size of a frame of a stream
+ * @param maximumResponseBytes maximum size of a response body that is not streamed
  */
 public record UpstreamLimits(
     int maximumConnections,
@@ -16,7 +16,7 @@
     int maximumLineBytes,
     int maximumResponseBytes) {
 
-  /** The bounds that daemons use where their settings say nothing else. */
+  /** Returns the default limits. */
   public static UpstreamLimits defaults() {
     return new UpstreamLimits(256, 500, 1_000, 64 * 1024, 8 * 1024 * 1024);
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamObserver.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamObserver.java
@@ -4,25 +4,26 @@
 import org.marjoramsail.core.model.UpstreamName;
 import org.marjoramsail.core.placement.LoadReport;
 
-/** Receives what polls find; called on any thread. */
+/** Receives the results of status polls; called on any thread. */
 public interface UpstreamObserver {
 
   /**
-   * Handles the load of an upstream.
+   * Handles a load report of an upstream.
    *
-   * @param report what it said
-   * @param requestedAtMillis when it was asked, on the clock of this daemon
+   * @param report the load report
+   * @param requestedAtMillis when the poll was sent, by this daemon's clock
    */
   void load(LoadReport report, long requestedAtMillis);
 
-  /** Takes all that an upstream said of itself, for orders and operators. */
+  /** Handles the full status of an upstream. */
   void status(UpstreamDefinition definition, UpstreamStatus status);
 
   /**
-   * Records that an upstream did not answer.
+   * Handles a failed poll of an upstream.
    *
-   * @param upstream which
-   * @param connectionRefused whether its host refused the connection, so that nothing listens there
+   * @param upstream the upstream
+   * @param connectionRefused whether the host refused the connection, which means that no process
+   *     listens
    */
   void unreachable(UpstreamName upstream, boolean connectionRefused);
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamStatus.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamStatus.java
@@ -9,22 +9,22 @@
 import org.marjoramsail.core.placement.LoadReport;
 
 /**
- * What an upstream says of itself, as of some time ago.
+ * Status that an upstream reports of itself.
  *
- * @param name its name, as it knows it
- * @param incarnation rises each time that it starts
- * @param role its role, in its words
- * @param model the model that it has loaded
+ * @param name name of the upstream, as configured in the upstream itself
+ * @param incarnation increases with each start
+ * @param role its role, as the upstream names it
+ * @param model the loaded model
  * @param version the version of that model
- * @param adapters the adapters that it has loaded
- * @param slots how many requests it holds at most
- * @param running how many it holds
- * @param waiting how many it has accepted and not begun
- * @param queuedPrefillTokens prompt tokens that it has accepted and not read
- * @param kvBytes KV cache that it holds
- * @param leaving whether it takes no new work
- * @param ageMillis how old the report is
- * @param orderToken the newest fencing token that it has seen
+ * @param adapters the loaded adapters
+ * @param slots maximum number of concurrent requests
+ * @param running number of running requests
+ * @param waiting number of accepted requests that have not started
+ * @param queuedPrefillTokens number of accepted prompt tokens that are not prefilled
+ * @param kvBytes size of its KV cache contents
+ * @param leaving whether it is draining and accepts no new requests
+ * @param ageMillis age of the report
+ * @param orderToken highest fencing token that it has received
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record UpstreamStatus(
@@ -48,7 +48,7 @@
     adapters = adapters == null ? List.of() : List.copyOf(adapters);
   }
 
-  /** The part that placement takes; an unknown role counts as the configured one. */
+  /** Returns the load report for placement; an unknown role is replaced by the configured one. */
   public LoadReport loadReport(UpstreamDefinition definition) {
     return new LoadReport(
         definition.name(),
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamStatusPoller.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/UpstreamStatusPoller.java
@@ -14,11 +14,11 @@
 import org.marjoramsail.core.time.Clock;
 
 /**
- * Asks upstreams for their load: each at its interval with jitter, at most one question under way
- * for each, and at once where a call was cut.
+ * Polls the status of upstreams: each at an interval with jitter, with at most one poll in flight
+ * for each, and at once after an interrupted call.
  *
- * <p>Which upstreams are polled is asked anew each time, so that a daemon polls only those whose
- * shards it owns.
+ * <p>The list of upstreams is evaluated at each tick, so that a daemon polls only the upstreams
+ * that it has to watch at the time.
  */
 public final class UpstreamStatusPoller {
 
@@ -38,15 +38,15 @@
   private long timer = NO_TIMER;
 
   /**
-   * Creates an instance with all that it needs; asks nobody yet.
+   * Creates a poller that is not started.
    *
-   * @param vertx for its timer
+   * @param vertx runs the timer
    * @param engines calls model engines
    * @param plainServices calls plain services
-   * @param polledUpstreams which upstreams to poll now
-   * @param pollInterval how often
-   * @param clock tells the time
-   * @param random for the jitter
+   * @param polledUpstreams returns the upstreams to poll at the time
+   * @param pollInterval interval of the polls
+   * @param clock provides the current time
+   * @param random source of the jitter
    */
   public UpstreamStatusPoller(
       Vertx vertx,
@@ -65,13 +65,13 @@
     this.random = random;
   }
 
-  /** Starts to poll; the observer comes here, since it may need what needs this poller. */
+  /** Starts to poll. The observer is passed here since it may depend on users of this poller. */
   public synchronized void start(UpstreamObserver statusObserver) {
     observer = Optional.of(statusObserver);
     timer = vertx.setPeriodic(TICK_MILLIS, fired -> pollDue());
   }
 
-  /** Stops to poll. */
+  /** Stops polling. */
   public synchronized void stop() {
     if (timer != NO_TIMER) {
       vertx.cancelTimer(timer);
@@ -79,7 +79,7 @@
     }
   }
 
-  /** Asks all that are due; called by its own timer. */
+  /** Polls all upstreams that are due; called by the timer. */
   void pollDue() {
     List<UpstreamDefinition> upstreams = polledUpstreams.get();
     long nowMillis = clock.millis();
@@ -98,7 +98,7 @@
     due.forEach(this::poll);
   }
 
-  /** Spreads the first polls over the interval. */
+  /** Schedules the first poll of an upstream at a random time within the interval. */
   private void scheduleFirstPoll(UpstreamName name, long nowMillis, long intervalMillis) {
     dueAtMillis.computeIfAbsent(name, unused -> nowMillis + random.nextLong(intervalMillis));
   }
@@ -107,7 +107,7 @@
     return intervalMillis + random.nextLong(pollInterval.jitterMillis() + 1);
   }
 
-  /** Asks one upstream now, for instance since a call to it was cut; nothing before the start. */
+  /** Polls one upstream now, for instance after an interrupted call; no effect before the start. */
   public void poll(UpstreamDefinition definition) {
     Optional<UpstreamObserver> currentObserver;
     synchronized (this) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/upstream/package-info.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/upstream/package-info.java
@@ -1,2 +1,2 @@
-/** What this daemon says to upstreams: model engines and plain services. */
+/** Clients and status polls for upstreams: model engines and plain services. */
 package org.marjoramsail.daemon.upstream;
--- a/daemon/src/test/java/org/marjoramsail/daemon/upstream/EngineClientTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/upstream/EngineClientTest.java
@@ -30,8 +30,8 @@
   }
 
   /**
-   * All requests end as "no connection" while every engine is well: the router itself cannot write
-   * its orders, and neither the log nor a counter says so.
+   * Guards against a serialization fault of this daemon that fails all requests as if the engines
+   * were unreachable, without an entry in the log or a count.
    */
   @Test
   void aRequestThatCannotBeSerializedIsNotSentAndIsLoggedOnceAndCounted() {
@@ -39,7 +39,7 @@
     ListAppender<ILoggingEvent> lines = new ListAppender<>();
     lines.start();
     logger.addAppender(lines);
-    // This mapper does not know Optional, so that it refuses the order.
+    // This mapper does not support Optional, so it cannot serialize the request.
     EngineClient engines =
         new EngineClient(
             new UpstreamHttp(vertx, UpstreamLimits.defaults()), new ObjectMapper(), meters);
--- a/daemon/src/test/java/org/marjoramsail/daemon/upstream/OrphanCancellerTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/upstream/OrphanCancellerTest.java
@@ -29,7 +29,7 @@
 
   private static final UpstreamName NAME = new UpstreamName("decode-1");
 
-  /** So slow that nothing which was begun ends within the test. */
+  /** Slows the engine so that no attempt ends within the test. */
   private static final double STANDSTILL_FACTOR = 1e7;
 
   private final Vertx vertx = Vertx.vertx();
@@ -96,9 +96,8 @@
   }
 
   /**
-   * A daemon's host loses power with its connections half open, and its engines stay full of
-   * requests that nobody reads; the first cancels fail as well. The daemon's next run and the other
-   * daemons go on.
+   * Guards against engine slots that stay occupied after a host loses power with its connections
+   * half open. Failed cancels are repeated; other daemons and later incarnations are not affected.
    */
   @Test
   void onlyTheAttemptsOfAFailedIncarnationAndEarlierOnesAreCancelledUntilTheEngineConfirms() {
