--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/Goodbye.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/CloseFrame.java
@@ -8,9 +8,9 @@
  *
  * @param reason why
  */
-record Goodbye(GoodbyeReason reason) implements PeerMessage {
+record CloseFrame(CloseReason reason) implements PeerMessage {
 
-  Goodbye {
+  CloseFrame {
     Objects.requireNonNull(reason, "reason");
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/GoodbyeReason.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/CloseReason.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Why a daemon closes a connection; each has its counter. */
-public enum GoodbyeReason {
+public enum CloseReason {
   OTHER_PROTOCOL,
   OTHER_CLUSTER,
   WRONG_PROOF,
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/Handshake.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/Handshake.java
@@ -55,15 +55,15 @@
   }
 
   /** Why a daemon that says this of itself is not talked to, before any proof. */
-  Optional<GoodbyeReason> refusal(Hello other) {
+  Optional<CloseReason> refusal(Hello other) {
     if (other.protocol() != PROTOCOL) {
-      return Optional.of(GoodbyeReason.OTHER_PROTOCOL);
+      return Optional.of(CloseReason.OTHER_PROTOCOL);
     }
     if (!other.cluster().equals(settings.cluster())) {
-      return Optional.of(GoodbyeReason.OTHER_CLUSTER);
+      return Optional.of(CloseReason.OTHER_CLUSTER);
     }
     if (other.daemon().equals(settings.self())) {
-      return Optional.of(GoodbyeReason.OWN_ADDRESS);
+      return Optional.of(CloseReason.OWN_ADDRESS);
     }
     return Optional.empty();
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerMessageType.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerMessageType.java
@@ -40,7 +40,7 @@
 public enum PeerMessageType {
   HELLO(1, Hello.class),
   HELLO_PROOF(2, HelloProof.class),
-  GOODBYE(3, Goodbye.class),
+  GOODBYE(3, CloseFrame.class),
   PING(4, PingMessage.class),
   ACK(5, AckMessage.class),
   PING_REQUEST(6, PingRequestMessage.class),
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerMeters.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerMeters.java
@@ -19,8 +19,8 @@
   private final Map<PeerMessageType, Counter> framesSent;
   private final Map<PeerMessageType, Counter> framesReceived;
   private final Map<DropReason, Counter> drops;
-  private final Map<GoodbyeReason, Counter> refusalsGiven;
-  private final Map<GoodbyeReason, Counter> refusalsTaken;
+  private final Map<CloseReason, Counter> refusalsGiven;
+  private final Map<CloseReason, Counter> refusalsTaken;
 
   PeerMeters(MeterRegistry registry, Supplier<Number> connections) {
     bytesSent = registry.counter(PREFIX + "bytes", "direction", "sent");
@@ -52,11 +52,11 @@
     drops.get(reason).increment(messages);
   }
 
-  void refusalGiven(GoodbyeReason reason) {
+  void refusalGiven(CloseReason reason) {
     refusalsGiven.get(reason).increment();
   }
 
-  void refusalTaken(GoodbyeReason reason) {
+  void refusalTaken(CloseReason reason) {
     refusalsTaken.get(reason).increment();
   }
 
@@ -65,9 +65,9 @@
     return counters(registry, PeerMessageType.class, "frames", "type", name, direction);
   }
 
-  private static Map<GoodbyeReason, Counter> refusals(MeterRegistry registry, String direction) {
+  private static Map<CloseReason, Counter> refusals(MeterRegistry registry, String direction) {
     return counters(
-        registry, GoodbyeReason.class, "refusals", "reason", GoodbyeReason::code, direction);
+        registry, CloseReason.class, "refusals", "reason", CloseReason::code, direction);
   }
 
   private static <E extends Enum<E>> Map<E, Counter> counters(
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerNetwork.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerNetwork.java
@@ -137,7 +137,7 @@
     context.runOnContext(
         nothing -> {
           vertx.cancelTimer(sweepTimer);
-          List.copyOf(sessions).forEach(session -> session.refuse(GoodbyeReason.STOPPING));
+          List.copyOf(sessions).forEach(session -> session.refuse(CloseReason.STOPPING));
           links.values().forEach(link -> link.clear(DropReason.STOPPED));
           Future.join(server.close(), client.close()).<Void>mapEmpty().onComplete(done);
         });
@@ -200,7 +200,7 @@
   private void accepted(NetSocket socket) {
     PeerSession session = begin(socket, Handshake.Role.ACCEPTING, Optional.empty());
     if (inbound > settings.bounds().maximumInboundConnections()) {
-      session.refuse(GoodbyeReason.TOO_MANY_CONNECTIONS);
+      session.refuse(CloseReason.TOO_MANY_CONNECTIONS);
     }
   }
 
@@ -294,10 +294,10 @@
      * for that host; others would see its state go back. Whoever has met the successor refuses it.
      */
     @Override
-    public Optional<GoodbyeReason> refusal(Hello other) {
+    public Optional<CloseReason> refusal(Hello other) {
       Long newest = newestIncarnations.getIfPresent(other.daemon().host());
       boolean old = newest != null && newest > other.daemon().incarnation();
-      return old ? Optional.of(GoodbyeReason.OLD_INCARNATION) : Optional.empty();
+      return old ? Optional.of(CloseReason.OLD_INCARNATION) : Optional.empty();
     }
 
     @Override
@@ -350,7 +350,7 @@
       sessions.stream()
           .filter(session -> session.isOpen() && newer.supersedes(session.other().daemon()))
           .toList()
-          .forEach(session -> session.refuse(GoodbyeReason.OLD_INCARNATION));
+          .forEach(session -> session.refuse(CloseReason.OLD_INCARNATION));
     }
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerSession.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerSession.java
@@ -20,7 +20,7 @@
   interface Listener {
 
     /** Why this proven daemon is refused all the same, if it is. */
-    Optional<GoodbyeReason> refusal(Hello other);
+    Optional<CloseReason> refusal(Hello other);
 
     /** The handshake is done; messages may be written. */
     void opened(PeerSession session);
@@ -103,12 +103,12 @@
   }
 
   /** Says why, and closes. */
-  void refuse(GoodbyeReason reason) {
+  void refuse(CloseReason reason) {
     if (closed) {
       return;
     }
     meters.refusalGiven(reason);
-    write(new Goodbye(reason));
+    write(new CloseFrame(reason));
     socket.close();
     gone();
   }
@@ -139,7 +139,7 @@
 
   private void body(int length) {
     if (length <= 0 || length > bounds.maximumFrameBytes()) {
-      refuse(GoodbyeReason.MALFORMED_FRAME);
+      refuse(CloseReason.MALFORMED_FRAME);
       return;
     }
     lengthNext = false;
@@ -152,13 +152,13 @@
       meters.received(PeerMessageType.ofClass(message.getClass()), LENGTH_BYTES + body.length);
       dispatch(message);
     } catch (PeerCodecException e) {
-      refuse(GoodbyeReason.MALFORMED_FRAME);
+      refuse(CloseReason.MALFORMED_FRAME);
     }
   }
 
   private void dispatch(PeerMessage message) {
-    if (message instanceof Goodbye goodbye) {
-      meters.refusalTaken(goodbye.reason());
+    if (message instanceof CloseFrame closeFrame) {
+      meters.refusalTaken(closeFrame.reason());
       socket.close();
     } else if (message instanceof Hello hello) {
       greeted(hello);
@@ -167,16 +167,16 @@
     } else if (open) {
       listener.received(this, message);
     } else {
-      refuse(GoodbyeReason.UNEXPECTED_MESSAGE);
+      refuse(CloseReason.UNEXPECTED_MESSAGE);
     }
   }
 
   private void greeted(Hello hello) {
     if (other.isPresent()) {
-      refuse(GoodbyeReason.UNEXPECTED_MESSAGE);
+      refuse(CloseReason.UNEXPECTED_MESSAGE);
       return;
     }
-    Optional<GoodbyeReason> refusal = handshake.refusal(hello);
+    Optional<CloseReason> refusal = handshake.refusal(hello);
     if (refusal.isPresent()) {
       refuse(refusal.get());
       return;
@@ -192,7 +192,7 @@
             .filter(proof -> handshake.isProven(proof, Handshake.Role.ACCEPTING, own, hello))
             .isPresent();
     if (!proven) {
-      refuse(GoodbyeReason.WRONG_PROOF);
+      refuse(CloseReason.WRONG_PROOF);
       return;
     }
     write(new HelloProof(handshake.proof(role, own, hello)));
@@ -201,18 +201,18 @@
 
   private void proven(HelloProof proof) {
     if (role == Handshake.Role.CONNECTING || other.isEmpty() || open) {
-      refuse(GoodbyeReason.UNEXPECTED_MESSAGE);
+      refuse(CloseReason.UNEXPECTED_MESSAGE);
       return;
     }
     if (!handshake.isProven(proof.proof(), Handshake.Role.CONNECTING, other.get(), own)) {
-      refuse(GoodbyeReason.WRONG_PROOF);
+      refuse(CloseReason.WRONG_PROOF);
       return;
     }
     open();
   }
 
   private void open() {
-    Optional<GoodbyeReason> refusal = listener.refusal(other());
+    Optional<CloseReason> refusal = listener.refusal(other());
     if (refusal.isPresent()) {
       refuse(refusal.get());
       return;
@@ -224,7 +224,7 @@
 
   private void timedOut() {
     if (!open) {
-      refuse(GoodbyeReason.HANDSHAKE_TIMEOUT);
+      refuse(CloseReason.HANDSHAKE_TIMEOUT);
     }
   }
 
--- a/daemon/src/test/java/org/marjoramsail/daemon/peer/PeerCodecTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/peer/PeerCodecTest.java
@@ -133,9 +133,9 @@
     Arbitrary<PeerMessage> hellos =
         Combinators.combine(Arbitraries.integers(), daemons, text(), text().optional())
             .as(PeerCodecTest::hello);
-    Arbitrary<PeerMessage> goodbyes =
-        Arbitraries.of(GoodbyeReason.class).map(reason -> new Goodbye(reason));
-    return Arbitraries.oneOf(List.of(pings, acks, requests, digests, states, hellos, goodbyes));
+    Arbitrary<PeerMessage> closeFrames =
+        Arbitraries.of(CloseReason.class).map(reason -> new CloseFrame(reason));
+    return Arbitraries.oneOf(List.of(pings, acks, requests, digests, states, hellos, closeFrames));
   }
 
   private static Hello hello(
--- a/daemon/src/test/java/org/marjoramsail/daemon/peer/PeerNetworkTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/peer/PeerNetworkTest.java
@@ -105,7 +105,7 @@
     dialogue.send(wrong.hello(1));
     assertThat(dialogue.next()).isInstanceOf(Hello.class);
     dialogue.send(new HelloProof("00"));
-    assertThat(dialogue.next()).isEqualTo(new Goodbye(GoodbyeReason.WRONG_PROOF));
+    assertThat(dialogue.next()).isEqualTo(new CloseFrame(CloseReason.WRONG_PROOF));
     dialogue.awaitEnd();
   }
 
@@ -115,13 +115,13 @@
     Handshake other = new Handshake(settings("two", 1, "elsewhere", "key", BOUNDS), new Random(9));
     Dialogue elsewhere = new Dialogue(one.network.listening());
     elsewhere.send(other.hello(1));
-    assertThat(elsewhere.next()).isEqualTo(new Goodbye(GoodbyeReason.OTHER_CLUSTER));
+    assertThat(elsewhere.next()).isEqualTo(new CloseFrame(CloseReason.OTHER_CLUSTER));
 
     Hello hello = new Handshake(one.settings, new Random(9)).hello(1);
     Dialogue newer = new Dialogue(one.network.listening());
     newer.send(
         new Hello(2, "cluster", hello.daemon(), hello.listening(), "z", "r", "n", hello.proof()));
-    assertThat(newer.next()).isEqualTo(new Goodbye(GoodbyeReason.OTHER_PROTOCOL));
+    assertThat(newer.next()).isEqualTo(new CloseFrame(CloseReason.OTHER_PROTOCOL));
   }
 
   @Test
@@ -170,7 +170,7 @@
     for (Buffer frame : bad) {
       Dialogue dialogue = new Dialogue(one.network.listening());
       dialogue.write(frame);
-      assertThat(dialogue.next()).isEqualTo(new Goodbye(GoodbyeReason.MALFORMED_FRAME));
+      assertThat(dialogue.next()).isEqualTo(new CloseFrame(CloseReason.MALFORMED_FRAME));
       dialogue.awaitEnd();
     }
     assertThat(one.count("marjoramsail.peer.refusals", "reason", "malformed-frame")).isEqualTo(4);
@@ -181,7 +181,7 @@
     PeerBounds hasty = new PeerBounds(1 << 20, 8, 1 << 20, 1 << 16, 20, 1000, 10, 20, 300);
     Daemon one = daemon(settings("one", 1, "cluster", "key", hasty), PeerFaults.NONE);
     Dialogue silent = new Dialogue(one.network.listening());
-    assertThat(silent.next()).isEqualTo(new Goodbye(GoodbyeReason.HANDSHAKE_TIMEOUT));
+    assertThat(silent.next()).isEqualTo(new CloseFrame(CloseReason.HANDSHAKE_TIMEOUT));
     silent.awaitEnd();
   }
 
@@ -193,7 +193,7 @@
     first.send(new Handshake(settings("a", 1, "cluster", "key", single), new Random(1)).hello(1));
     assertThat(first.next()).isInstanceOf(Hello.class);
     Dialogue second = new Dialogue(one.network.listening());
-    assertThat(second.next()).isEqualTo(new Goodbye(GoodbyeReason.TOO_MANY_CONNECTIONS));
+    assertThat(second.next()).isEqualTo(new CloseFrame(CloseReason.TOO_MANY_CONNECTIONS));
   }
 
   /**
