--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/AdjustablePeerFaults.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/AdjustablePeerFaults.java
@@ -21,15 +21,17 @@
     public static final Rates NONE = new Rates(0, 0, 0);
   }
 
-  private record Path(String one, String other) {
-    static Path between(String host, String otherHost) {
-      return host.compareTo(otherHost) < 0 ? new Path(host, otherHost) : new Path(otherHost, host);
+  private record HostPair(String first, String second) {
+    static HostPair between(String host, String otherHost) {
+      return host.compareTo(otherHost) < 0
+          ? new HostPair(host, otherHost)
+          : new HostPair(otherHost, host);
     }
   }
 
   private final RandomGenerator random;
   private final Object lock = new Object();
-  private final Set<Path> cuts = new HashSet<>();
+  private final Set<HostPair> partitions = new HashSet<>();
   private Rates rates = Rates.NONE;
 
   /** Creates an instance with the source of chance. */
@@ -38,30 +40,30 @@
   }
 
   /** Sets how often messages meet a fault from now on. */
-  public void rates(Rates newRates) {
+  public void setRates(Rates newRates) {
     synchronized (lock) {
       rates = newRates;
     }
   }
 
   /** Lets no message pass between two hosts, either way. */
-  public void cut(String host, String otherHost) {
+  public void partition(String host, String otherHost) {
     synchronized (lock) {
-      cuts.add(Path.between(host, otherHost));
+      partitions.add(HostPair.between(host, otherHost));
     }
   }
 
   /** Ends a cut. */
-  public void mend(String host, String otherHost) {
+  public void heal(String host, String otherHost) {
     synchronized (lock) {
-      cuts.remove(Path.between(host, otherHost));
+      partitions.remove(HostPair.between(host, otherHost));
     }
   }
 
   @Override
   public Arrival arrival(DaemonId from, DaemonId to) {
     synchronized (lock) {
-      if (cuts.contains(Path.between(from.host(), to.host()))
+      if (partitions.contains(HostPair.between(from.host(), to.host()))
           || random.nextDouble() < rates.dropped()) {
         return Arrival.DROPPED;
       }
--- a/daemon/src/test/java/org/marjoramsail/daemon/peer/PeerNetworkTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/peer/PeerNetworkTest.java
@@ -35,7 +35,7 @@
   private static final int LOWEST_PORT = 21_000;
   private static final int LOWEST_EPHEMERAL_PORT = 32_768;
 
-  private static final long HANG_SECONDS = 20;
+  private static final long TIMEOUT_SECONDS = 20;
   private static final Clock CLOCK = () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   private static final PeerBounds BOUNDS = PeerBounds.defaults();
 
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void messagesArriveInOrderAndNameTheirProvenSender() throws Exception {
+  void messagesArriveInOrderWithTheirAuthenticatedSender() throws Exception {
     Daemon one = daemon("one", 1, "key");
     Daemon two = daemon("two", 1, "key");
     for (int sequence = 0; sequence < 1000; sequence++) {
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void theEndOfTheLastConnectionOfARunIsToldAtOnce() throws Exception {
+  void listenersAreNotifiedWhenTheLastConnectionToAnIncarnationCloses() throws Exception {
     // A user waits seconds longer for a token: the owner of a shard died, its sockets closed at
     // once, and its requests moved only when the failure detector had noticed.
     // Cause: nobody took the closed connection for the sign that it is.
@@ -85,70 +85,72 @@
     one.network.send(two.id, new PingMessage(1, List.of()));
     assertThat(two.next().from()).isEqualTo(one.id);
     await(two.network.stop());
-    assertThat(lost.get(HANG_SECONDS, TimeUnit.SECONDS)).isEqualTo(two.id);
+    assertThat(lost.get(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isEqualTo(two.id);
   }
 
   @Test
-  void aStrangerWithoutTheClusterKeyIsRefused() throws Exception {
+  void aDaemonWithoutTheClusterKeyIsRefused() throws Exception {
     Daemon one = daemon("one", 1, "key");
-    Daemon stranger = daemon("stranger", 1, "another key");
-    stranger.network.send(one.id, new PingMessage(1, List.of()));
-    stranger.awaitCount("marjoramsail.peer.refusals", "reason", "wrong-proof");
+    Daemon otherKey = daemon("stranger", 1, "another key");
+    otherKey.network.send(one.id, new PingMessage(1, List.of()));
+    otherKey.awaitCount("marjoramsail.peer.refusals", "reason", "wrong-proof");
     assertThat(one.received).isEmpty();
   }
 
   @Test
-  void anAcceptingDaemonRefusesAProofThatItsKeyDoesNotGive() throws Exception {
+  void anAcceptingDaemonRefusesAnInvalidProof() throws Exception {
     Daemon one = daemon("one", 1, "key");
-    Handshake wrong = new Handshake(settings("liar", 1, "cluster", "guess", BOUNDS), new Random(9));
-    Dialogue dialogue = new Dialogue(one.network.listening());
-    dialogue.send(wrong.hello(1));
-    assertThat(dialogue.next()).isInstanceOf(Hello.class);
-    dialogue.send(new HelloProof("00"));
-    assertThat(dialogue.next()).isEqualTo(new CloseFrame(CloseReason.WRONG_PROOF));
-    dialogue.awaitEnd();
+    Handshake wrongKey =
+        new Handshake(settings("liar", 1, "cluster", "guess", BOUNDS), new Random(9));
+    RawConnection connection = new RawConnection(one.network.listening());
+    connection.send(wrongKey.hello(1));
+    assertThat(connection.next()).isInstanceOf(Hello.class);
+    connection.send(new HelloProof("00"));
+    assertThat(connection.next()).isEqualTo(new CloseFrame(CloseReason.WRONG_PROOF));
+    connection.awaitClose();
   }
 
   @Test
-  void aDaemonOfAnotherClusterOrProtocolIsToldSoAndRefused() throws Exception {
+  void aDaemonOfAnotherClusterOrProtocolIsRefusedWithTheReason() throws Exception {
     Daemon one = daemon("one", 1, "key");
     Handshake other = new Handshake(settings("two", 1, "elsewhere", "key", BOUNDS), new Random(9));
-    Dialogue elsewhere = new Dialogue(one.network.listening());
-    elsewhere.send(other.hello(1));
-    assertThat(elsewhere.next()).isEqualTo(new CloseFrame(CloseReason.OTHER_CLUSTER));
+    RawConnection otherCluster = new RawConnection(one.network.listening());
+    otherCluster.send(other.hello(1));
+    assertThat(otherCluster.next()).isEqualTo(new CloseFrame(CloseReason.OTHER_CLUSTER));
 
     Hello hello = new Handshake(one.settings, new Random(9)).hello(1);
-    Dialogue newer = new Dialogue(one.network.listening());
-    newer.send(
+    RawConnection otherProtocol = new RawConnection(one.network.listening());
+    otherProtocol.send(
         new Hello(2, "cluster", hello.daemon(), hello.listening(), "z", "r", "n", hello.proof()));
-    assertThat(newer.next()).isEqualTo(new CloseFrame(CloseReason.OTHER_PROTOCOL));
+    assertThat(otherProtocol.next()).isEqualTo(new CloseFrame(CloseReason.OTHER_PROTOCOL));
   }
 
   @Test
-  void anOlderRunIsRefusedOnceItsSuccessorIsKnown() throws Exception {
+  void anOlderIncarnationIsRefusedAfterItsSuccessorHasConnected() throws Exception {
     // A user sees an upstream drained by a daemon that was replaced minutes ago.
     // The host's daemon pauses, its successor starts and is known, the old one wakes and speaks.
     // Cause: a connection proves the key but not that the run is the newest.
     Daemon one = daemon("one", 1, "key");
-    Daemon old = daemon("two", 5, "key");
-    old.network.send(one.id, new PingMessage(1, List.of()));
-    assertThat(one.next().from()).isEqualTo(old.id);
+    Daemon predecessor = daemon("two", 5, "key");
+    predecessor.network.send(one.id, new PingMessage(1, List.of()));
+    assertThat(one.next().from()).isEqualTo(predecessor.id);
     Daemon successor = daemon("two", 6, "key");
     successor.network.send(one.id, new PingMessage(2, List.of()));
     assertThat(one.next().from()).isEqualTo(successor.id);
-    old.awaitCount("marjoramsail.peer.refusals", "reason", "old-incarnation");
-    double taken = old.count("marjoramsail.peer.refusals", "reason", "old-incarnation");
+    predecessor.awaitCount("marjoramsail.peer.refusals", "reason", "old-incarnation");
+    double refusals = predecessor.count("marjoramsail.peer.refusals", "reason", "old-incarnation");
     // A message given to the connection that is being closed is lost, so it is sent until refused.
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(HANG_SECONDS);
-    while (old.count("marjoramsail.peer.refusals", "reason", "old-incarnation") <= taken) {
-      old.network.send(one.id, new PingMessage(3, List.of()));
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+    while (predecessor.count("marjoramsail.peer.refusals", "reason", "old-incarnation")
+        <= refusals) {
+      predecessor.network.send(one.id, new PingMessage(3, List.of()));
       assertThat(one.received.poll(20, TimeUnit.MILLISECONDS)).isNull();
-      assertThat(System.nanoTime()).as("refused again in time").isLessThan(end);
+      assertThat(System.nanoTime()).as("refused again before the timeout").isLessThan(end);
     }
   }
 
   @Test
-  void aMessageForAnotherRunIsNotGivenToTheOneThatListensNow() throws Exception {
+  void aMessageForAnEarlierIncarnationIsNotDeliveredToTheCurrentOne() throws Exception {
     Daemon one = daemon("one", 1, "key");
     Daemon two = daemon("two", 6, "key");
     DaemonId predecessor = new DaemonId("two", 5);
@@ -161,38 +163,41 @@
   @Test
   void malformedAndOversizedFramesCloseTheConnectionAndAreCounted() throws Exception {
     Daemon one = daemon("one", 1, "key");
-    List<Buffer> bad =
+    List<Buffer> malformedFrames =
         List.of(
             Buffer.buffer().appendInt(BOUNDS.maximumFrameBytes() + 1),
             Buffer.buffer().appendInt(0),
             Buffer.buffer().appendInt(-1),
             Buffer.buffer().appendInt(2).appendByte((byte) 0xc1).appendByte((byte) 0xc1));
-    for (Buffer frame : bad) {
-      Dialogue dialogue = new Dialogue(one.network.listening());
-      dialogue.write(frame);
-      assertThat(dialogue.next()).isEqualTo(new CloseFrame(CloseReason.MALFORMED_FRAME));
-      dialogue.awaitEnd();
+    for (Buffer frame : malformedFrames) {
+      RawConnection connection = new RawConnection(one.network.listening());
+      connection.write(frame);
+      assertThat(connection.next()).isEqualTo(new CloseFrame(CloseReason.MALFORMED_FRAME));
+      connection.awaitClose();
     }
     assertThat(one.count("marjoramsail.peer.refusals", "reason", "malformed-frame")).isEqualTo(4);
   }
 
   @Test
-  void aConnectionThatStaysSilentIsClosed() throws Exception {
-    PeerBounds hasty = new PeerBounds(1 << 20, 8, 1 << 20, 1 << 16, 20, 1000, 10, 20, 300);
-    Daemon one = daemon(settings("one", 1, "cluster", "key", hasty), PeerFaults.NONE);
-    Dialogue silent = new Dialogue(one.network.listening());
-    assertThat(silent.next()).isEqualTo(new CloseFrame(CloseReason.HANDSHAKE_TIMEOUT));
-    silent.awaitEnd();
+  void aConnectionWithoutAHandshakeIsClosedAtTheTimeout() throws Exception {
+    PeerBounds shortTimeout = new PeerBounds(1 << 20, 8, 1 << 20, 1 << 16, 20, 1000, 10, 20, 300);
+    Daemon one = daemon(settings("one", 1, "cluster", "key", shortTimeout), PeerFaults.NONE);
+    RawConnection idle = new RawConnection(one.network.listening());
+    assertThat(idle.next()).isEqualTo(new CloseFrame(CloseReason.HANDSHAKE_TIMEOUT));
+    idle.awaitClose();
   }
 
   @Test
-  void connectionsBeyondTheBoundAreRefused() throws Exception {
-    PeerBounds single = new PeerBounds(1 << 20, 1, 1 << 20, 1 << 16, 60_000, 1000, 10, 20, 300);
-    Daemon one = daemon(settings("one", 1, "cluster", "key", single), PeerFaults.NONE);
-    Dialogue first = new Dialogue(one.network.listening());
-    first.send(new Handshake(settings("a", 1, "cluster", "key", single), new Random(1)).hello(1));
+  void connectionsAboveTheMaximumAreRefused() throws Exception {
+    PeerBounds singleConnection =
+        new PeerBounds(1 << 20, 1, 1 << 20, 1 << 16, 60_000, 1000, 10, 20, 300);
+    Daemon one = daemon(settings("one", 1, "cluster", "key", singleConnection), PeerFaults.NONE);
+    RawConnection first = new RawConnection(one.network.listening());
+    first.send(
+        new Handshake(settings("a", 1, "cluster", "key", singleConnection), new Random(1))
+            .hello(1));
     assertThat(first.next()).isInstanceOf(Hello.class);
-    Dialogue second = new Dialogue(one.network.listening());
+    RawConnection second = new RawConnection(one.network.listening());
     assertThat(second.next()).isEqualTo(new CloseFrame(CloseReason.TOO_MANY_CONNECTIONS));
   }
 
@@ -200,11 +205,11 @@
    * A free port below those from which the system gives outgoing connections theirs: a connection
    * of any process may else take the port between the two lives of a daemon.
    */
-  private static int portThatNoConnectionTakes() throws IOException {
+  private static int portBelowEphemeralRange() throws IOException {
     for (int port = LOWEST_PORT; port < LOWEST_EPHEMERAL_PORT; port++) {
       try (ServerSocket free = new ServerSocket(port)) {
         return free.getLocalPort();
-      } catch (BindException taken) {
+      } catch (BindException portInUse) {
         // The next one may be free.
       }
     }
@@ -212,8 +217,8 @@
   }
 
   @Test
-  void aDaemonThatRestartsOnItsPortIsReachedAgain() throws Exception {
-    int port = portThatNoConnectionTakes();
+  void aDaemonThatRestartsOnItsPortReceivesMessagesAgain() throws Exception {
+    int port = portBelowEphemeralRange();
     Daemon one = daemon("one", 1, "key");
     Daemon two =
         daemon(
@@ -222,39 +227,39 @@
     one.network.send(two.id, new PingMessage(1, List.of()));
     two.next();
     await(two.network.stop());
-    Daemon again =
+    Daemon restarted =
         daemon(
             new PeerSettings("127.0.0.1", port, "cluster", "key", id("two", 2), "z", "r", BOUNDS),
             PeerFaults.NONE);
     Received received = null;
     for (int sequence = 2; received == null; sequence++) {
-      one.network.send(again.id, new PingMessage(sequence, List.of()));
-      received = again.received.poll(50, TimeUnit.MILLISECONDS);
+      one.network.send(restarted.id, new PingMessage(sequence, List.of()));
+      received = restarted.received.poll(50, TimeUnit.MILLISECONDS);
     }
     assertThat(received.from()).isEqualTo(one.id);
   }
 
   @Test
-  void everyMessageForAnAddressWhereNobodyListensIsDroppedAndCounted() throws Exception {
-    PeerBounds tiny = new PeerBounds(1 << 20, 8, 100, 1 << 16, 60_000, 1000, 10, 20, 300);
-    Daemon one = daemon(settings("one", 1, "cluster", "key", tiny), PeerFaults.NONE);
-    PeerAddress nowhere = new PeerAddress("127.0.0.1", 1);
+  void messagesForAnAddressWithoutAListenerAreDroppedAndCounted() throws Exception {
+    PeerBounds smallQueue = new PeerBounds(1 << 20, 8, 100, 1 << 16, 60_000, 1000, 10, 20, 300);
+    Daemon one = daemon(settings("one", 1, "cluster", "key", smallQueue), PeerFaults.NONE);
+    PeerAddress unusedAddress = new PeerAddress("127.0.0.1", 1);
     for (int sequence = 0; sequence < 100; sequence++) {
-      one.network.send(nowhere, new PingMessage(sequence, List.of()));
+      one.network.send(unusedAddress, new PingMessage(sequence, List.of()));
     }
     one.awaitTotal(100, "marjoramsail.peer.drops");
   }
 
   @Test
-  void injectedFaultsCutAndDuplicate() throws Exception {
+  void injectedFaultsDropAndDuplicateMessages() throws Exception {
     AdjustablePeerFaults faults = new AdjustablePeerFaults(new Random(3));
     Daemon one = daemon("one", 1, "key");
     Daemon two = daemon(settings("two", 1, "cluster", "key", BOUNDS), faults);
-    faults.cut("two", "one");
+    faults.partition("two", "one");
     one.network.send(two.id, new PingMessage(1, List.of()));
     two.awaitCount("marjoramsail.peer.drops", "reason", "injected");
-    faults.mend("one", "two");
-    faults.rates(new AdjustablePeerFaults.Rates(0, 1, 3));
+    faults.heal("one", "two");
+    faults.setRates(new AdjustablePeerFaults.Rates(0, 1, 3));
     one.network.send(two.id, new PingMessage(2, List.of()));
     assertThat(two.next().message()).isEqualTo(new PingMessage(2, List.of()));
     assertThat(two.next().message()).isEqualTo(new PingMessage(2, List.of()));
@@ -279,7 +284,7 @@
     }
 
     Received next() throws InterruptedException {
-      Received next = received.poll(HANG_SECONDS, TimeUnit.SECONDS);
+      Received next = received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       assertThat(next).as("a message").isNotNull();
       return next;
     }
@@ -297,7 +302,7 @@
     }
 
     void awaitMoreThan(double bound, String name, String... tags) {
-      long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(HANG_SECONDS);
+      long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
       while (count(name, tags) <= bound && System.nanoTime() < end) {
         Thread.onSpinWait();
       }
@@ -306,14 +311,14 @@
   }
 
   /** Speaks the protocol by hand. */
-  private final class Dialogue {
+  private final class RawConnection {
     private final PeerCodec codec = new PeerCodec(1 << 20);
     private final BlockingQueue<Object> received = new LinkedBlockingQueue<>();
-    private final CompletableFuture<Void> end = new CompletableFuture<>();
+    private final CompletableFuture<Void> closed = new CompletableFuture<>();
     private final NetSocket socket;
-    private Buffer rest = Buffer.buffer();
+    private Buffer unparsed = Buffer.buffer();
 
-    Dialogue(PeerAddress address) throws Exception {
+    RawConnection(PeerAddress address) throws Exception {
       socket =
           await(
               vertx
@@ -322,20 +327,20 @@
                   .onSuccess(
                       opened -> {
                         opened.handler(this::read);
-                        opened.closeHandler(nothing -> end.complete(null));
+                        opened.closeHandler(unused -> closed.complete(null));
                       }));
     }
 
     private void read(Buffer bytes) {
-      rest.appendBuffer(bytes);
-      while (rest.length() >= 4 && rest.length() >= 4 + rest.getInt(0)) {
-        int length = rest.getInt(0);
+      unparsed.appendBuffer(bytes);
+      while (unparsed.length() >= 4 && unparsed.length() >= 4 + unparsed.getInt(0)) {
+        int length = unparsed.getInt(0);
         try {
-          received.add(codec.decode(rest.getBytes(4, 4 + length)));
+          received.add(codec.decode(unparsed.getBytes(4, 4 + length)));
         } catch (PeerCodecException e) {
           received.add(e);
         }
-        rest = rest.getBuffer(4 + length, rest.length());
+        unparsed = unparsed.getBuffer(4 + length, unparsed.length());
       }
     }
 
@@ -349,11 +354,11 @@
     }
 
     Object next() throws InterruptedException {
-      return received.poll(HANG_SECONDS, TimeUnit.SECONDS);
+      return received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    void awaitEnd() throws Exception {
-      end.get(HANG_SECONDS, TimeUnit.SECONDS);
+    void awaitClose() throws Exception {
+      closed.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
   }
 
@@ -390,6 +395,6 @@
   }
 
   private static <T> T await(Future<T> future) throws Exception {
-    return future.toCompletionStage().toCompletableFuture().get(HANG_SECONDS, TimeUnit.SECONDS);
+    return future.toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 }
