--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/Handshake.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/Handshake.java
@@ -73,9 +73,9 @@
       Mac mac = Mac.getInstance(ALGORITHM);
       byte[] key = settings.clusterKey().getBytes(StandardCharsets.UTF_8);
       mac.init(new SecretKeySpec(key, ALGORITHM));
-      cover(mac, prover.name());
-      cover(mac, connecting);
-      cover(mac, accepting);
+      update(mac, prover.name());
+      update(mac, connecting);
+      update(mac, accepting);
       return HexFormat.of().formatHex(mac.doFinal());
     } catch (GeneralSecurityException e) {
       throw new IllegalStateException("Every Java platform has " + ALGORITHM + ".", e);
@@ -87,17 +87,17 @@
     return MessageDigest.isEqual(expected, proof.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static void cover(Mac mac, Hello hello) {
-    cover(mac, Integer.toString(hello.protocol()));
-    cover(mac, hello.cluster());
-    cover(mac, hello.daemon().toString());
-    cover(mac, hello.listening().toString());
-    cover(mac, hello.availabilityZone());
-    cover(mac, hello.region());
-    cover(mac, hello.nonce());
+  private static void update(Mac mac, Hello hello) {
+    update(mac, Integer.toString(hello.protocol()));
+    update(mac, hello.cluster());
+    update(mac, hello.daemon().toString());
+    update(mac, hello.listening().toString());
+    update(mac, hello.availabilityZone());
+    update(mac, hello.region());
+    update(mac, hello.nonce());
   }
 
-  private static void cover(Mac mac, String text) {
+  private static void update(Mac mac, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     mac.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).array());
     mac.update(bytes);
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerLink.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerLink.java
@@ -23,7 +23,7 @@
     void connect(PeerLink link);
   }
 
-  private static final int LONGEST_DOUBLING = 16;
+  private static final int MAXIMUM_BACKOFF_DOUBLINGS = 16;
 
   private final PeerAddress address;
   private final Vertx vertx;
@@ -43,7 +43,7 @@
   private Optional<PeerSession> session = Optional.empty();
   private boolean connecting;
   private int failures;
-  private long noConnectBeforeMillis;
+  private long earliestConnectMillis;
 
   PeerLink(
       PeerAddress address,
@@ -62,7 +62,7 @@
     this.random = random;
     this.meters = meters;
     this.connector = connector;
-    this.noConnectBeforeMillis = clock.millis();
+    this.earliestConnectMillis = clock.millis();
   }
 
   PeerAddress address() {
@@ -71,10 +71,10 @@
 
   /** Queues a message or drops it; urgent ones push out ordinary ones. */
   void queue(OutboundFrame frame) {
-    boolean wake;
+    boolean scheduleFlush;
     synchronized (lock) {
       if (frame.type().isUrgent()) {
-        makeRoom(frame.length());
+        evictOrdinary(frame.length());
       }
       if (queuedBytes + frame.length() > bounds.maximumQueuedBytes()) {
         meters.dropped(DropReason.QUEUE_FULL, 1);
@@ -82,20 +82,20 @@
       }
       (frame.type().isUrgent() ? urgent : ordinary).addLast(frame);
       queuedBytes += frame.length();
-      wake = !flushPending;
+      scheduleFlush = !flushPending;
       flushPending = true;
     }
-    if (wake) {
-      context.runOnContext(nothing -> flush());
+    if (scheduleFlush) {
+      context.runOnContext(unused -> flush());
     }
   }
 
   /** Handles a proven connection, unless there is one already. */
-  void opened(PeerSession opened) {
+  void opened(PeerSession openedSession) {
     connecting = false;
     failures = 0;
     if (session.filter(PeerSession::isOpen).isEmpty()) {
-      session = Optional.of(opened);
+      session = Optional.of(openedSession);
     }
     flush();
   }
@@ -103,21 +103,21 @@
   /** A connection attempt came to nothing; what waits is too old by the next one. */
   void failed() {
     connecting = false;
-    noConnectBeforeMillis = clock.millis() + backoffMillis();
-    failures = Math.min(failures + 1, LONGEST_DOUBLING);
+    earliestConnectMillis = clock.millis() + backoffMillis();
+    failures = Math.min(failures + 1, MAXIMUM_BACKOFF_DOUBLINGS);
     if (session.filter(PeerSession::isOpen).isEmpty()) {
-      clear(DropReason.CONNECT_FAILED);
+      dropQueued(DropReason.CONNECT_FAILED);
     }
   }
 
-  void closed(PeerSession gone) {
-    if (session.filter(current -> current == gone).isPresent()) {
+  void closed(PeerSession closedSession) {
+    if (session.filter(current -> current == closedSession).isPresent()) {
       session = Optional.empty();
-      clear(DropReason.CONNECTION_CLOSED);
+      dropQueued(DropReason.CONNECTION_CLOSED);
     }
   }
 
-  void clear(DropReason reason) {
+  void dropQueued(DropReason reason) {
     int dropped;
     synchronized (lock) {
       dropped = urgent.size() + ordinary.size();
@@ -129,17 +129,17 @@
   }
 
   /** Whether forgetting it loses nothing but its count of failures. */
-  boolean isForgettable() {
+  boolean isRemovable() {
     synchronized (lock) {
       return session.isEmpty()
           && !connecting
           && !flushPending
           && queuedBytes == 0
-          && clock.millis() >= noConnectBeforeMillis;
+          && clock.millis() >= earliestConnectMillis;
     }
   }
 
-  private void makeRoom(int bytes) {
+  private void evictOrdinary(int bytes) {
     while (queuedBytes + bytes > bounds.maximumQueuedBytes() && !ordinary.isEmpty()) {
       queuedBytes -= ordinary.removeLast().length();
       meters.dropped(DropReason.QUEUE_FULL, 1);
@@ -152,14 +152,14 @@
     }
     if (session.filter(PeerSession::isOpen).isPresent()) {
       write(session.get());
-    } else if (!connecting && isWaiting()) {
+    } else if (!connecting && hasQueuedFrames()) {
       connect();
     }
   }
 
   private void connect() {
     connecting = true;
-    long waitMillis = noConnectBeforeMillis - clock.millis();
+    long waitMillis = earliestConnectMillis - clock.millis();
     if (waitMillis <= 0) {
       connector.connect(this);
     } else {
@@ -167,20 +167,20 @@
     }
   }
 
-  private void write(PeerSession open) {
-    while (isWaiting()) {
-      if (open.isFull()) {
-        open.onDrain(this::flush);
+  private void write(PeerSession openSession) {
+    while (hasQueuedFrames()) {
+      if (openSession.isFull()) {
+        openSession.onWritable(this::flush);
         return;
       }
-      Buffer batch = batch(open);
+      Buffer batch = nextBatch(openSession);
       if (batch.length() > 0) {
-        open.write(batch);
+        openSession.write(batch);
       }
     }
   }
 
-  private Buffer batch(PeerSession open) {
+  private Buffer nextBatch(PeerSession openSession) {
     Buffer batch = Buffer.buffer();
     synchronized (lock) {
       while (batch.length() < bounds.maximumBatchBytes()) {
@@ -189,7 +189,7 @@
           return batch;
         }
         queuedBytes -= frame.length();
-        if (frame.isFor(open.other().daemon())) {
+        if (frame.isFor(openSession.other().daemon())) {
           batch.appendBuffer(frame.bytes());
           meters.sent(frame.type(), frame.length());
         } else {
@@ -200,7 +200,7 @@
     return batch;
   }
 
-  private boolean isWaiting() {
+  private boolean hasQueuedFrames() {
     synchronized (lock) {
       return !urgent.isEmpty() || !ordinary.isEmpty();
     }
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerMessageType.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerMessageType.java
@@ -113,11 +113,11 @@
         .toList();
   }
 
-  /** The records that lie in the package of {@code neighbour}. */
-  public static List<Class<? extends PeerMessage>> ofPackage(Class<?> neighbour) {
+  /** The records that lie in the package of {@code packageMember}. */
+  public static List<Class<? extends PeerMessage>> ofPackage(Class<?> packageMember) {
     return Arrays.stream(values())
         .<Class<? extends PeerMessage>>map(PeerMessageType::message)
-        .filter(message -> message.getPackage().equals(neighbour.getPackage()))
+        .filter(message -> message.getPackage().equals(packageMember.getPackage()))
         .toList();
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerMeters.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerMeters.java
@@ -19,8 +19,8 @@
   private final Map<PeerMessageType, Counter> framesSent;
   private final Map<PeerMessageType, Counter> framesReceived;
   private final Map<DropReason, Counter> drops;
-  private final Map<CloseReason, Counter> refusalsGiven;
-  private final Map<CloseReason, Counter> refusalsTaken;
+  private final Map<CloseReason, Counter> refusalsSent;
+  private final Map<CloseReason, Counter> refusalsReceived;
 
   PeerMeters(MeterRegistry registry, Supplier<Number> connections) {
     bytesSent = registry.counter(PREFIX + "bytes", "direction", "sent");
@@ -29,8 +29,8 @@
     framesSent = frames(registry, "sent");
     framesReceived = frames(registry, "received");
     drops = counters(registry, DropReason.class, "drops", "reason", DropReason::code, "");
-    refusalsGiven = refusals(registry, "given");
-    refusalsTaken = refusals(registry, "taken");
+    refusalsSent = refusals(registry, "given");
+    refusalsReceived = refusals(registry, "taken");
     registry.gauge(PREFIX + "connections", connections, supplier -> supplier.get().doubleValue());
   }
 
@@ -52,12 +52,12 @@
     drops.get(reason).increment(messages);
   }
 
-  void refusalGiven(CloseReason reason) {
-    refusalsGiven.get(reason).increment();
+  void refusalSent(CloseReason reason) {
+    refusalsSent.get(reason).increment();
   }
 
-  void refusalTaken(CloseReason reason) {
-    refusalsTaken.get(reason).increment();
+  void refusalReceived(CloseReason reason) {
+    refusalsReceived.get(reason).increment();
   }
 
   private static Map<PeerMessageType, Counter> frames(MeterRegistry registry, String direction) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerNetwork.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerNetwork.java
@@ -41,14 +41,14 @@
 public final class PeerNetwork implements PeerTransport {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(PeerNetwork.class);
-  private static final int REMEMBERED_HOSTS = 4096;
-  private static final long SWEEP_MILLIS = 10_000;
+  private static final int MAXIMUM_TRACKED_HOSTS = 4096;
+  private static final long CLEANUP_INTERVAL_MILLIS = 10_000;
 
   private final Vertx vertx;
   private final PeerSettings settings;
   private final Clock clock;
   private final RandomGenerator random;
-  private final Function<DaemonId, Optional<PeerAddress>> addresses;
+  private final Function<DaemonId, Optional<PeerAddress>> addressLookup;
   private final PeerFaults faults;
   private final Handshake handshake;
   private final PeerCodec codec;
@@ -60,13 +60,13 @@
   private final Map<Class<? extends PeerMessage>, PeerMessageHandler> handlers =
       new ConcurrentHashMap<>();
   private final Map<PeerAddress, PeerLink> links = new ConcurrentHashMap<>();
-  private final Map<DaemonId, PeerLink> open = new ConcurrentHashMap<>();
+  private final Map<DaemonId, PeerLink> linksByDaemon = new ConcurrentHashMap<>();
   private final Cache<String, Long> newestIncarnations =
-      Caffeine.newBuilder().maximumSize(REMEMBERED_HOSTS).build();
+      Caffeine.newBuilder().maximumSize(MAXIMUM_TRACKED_HOSTS).build();
   private final Set<PeerSession> sessions = new HashSet<>();
-  private final List<Consumer<DaemonId>> lostListeners = new CopyOnWriteArrayList<>();
-  private int inbound;
-  private long sweepTimer;
+  private final List<Consumer<DaemonId>> connectionLostListeners = new CopyOnWriteArrayList<>();
+  private int inboundConnections;
+  private long cleanupTimer;
   private volatile int port;
   private volatile boolean stopped;
 
@@ -74,7 +74,8 @@
    * Creates an instance with all that it works with; nothing happens before {@link #start}.
    *
    * @param random chance for nonces and back-off; a stranger must not be able to foretell it
-   * @param addresses where a run of a daemon listens, as membership knows it; called on any thread
+   * @param addressLookup where a run of a daemon listens, as membership knows it; called on any
+   *     thread
    * @param faults {@link PeerFaults#NONE} outside of tests
    */
   public PeerNetwork(
@@ -83,17 +84,17 @@
       Clock clock,
       MeterRegistry registry,
       RandomGenerator random,
-      Function<DaemonId, Optional<PeerAddress>> addresses,
+      Function<DaemonId, Optional<PeerAddress>> addressLookup,
       PeerFaults faults) {
     this.vertx = vertx;
     this.settings = settings;
     this.clock = clock;
     this.random = random;
-    this.addresses = addresses;
+    this.addressLookup = addressLookup;
     this.faults = faults;
     this.handshake = new Handshake(settings, random);
     this.codec = new PeerCodec(settings.bounds().maximumFrameBytes());
-    this.meters = new PeerMeters(registry, open::size);
+    this.meters = new PeerMeters(registry, linksByDaemon::size);
     this.context = vertx.getOrCreateContext();
     this.server = vertx.createNetServer(serverOptions(settings));
     this.client = vertx.createNetClient(clientOptions(settings.bounds()));
@@ -111,16 +112,16 @@
    * than membership can know.
    */
   public void onConnectionLost(Consumer<DaemonId> listener) {
-    lostListeners.add(listener);
+    connectionLostListeners.add(listener);
   }
 
   /** Listens; gives the port on which it does. */
   public Future<Integer> start() {
     Promise<Integer> started = Promise.promise();
     context.runOnContext(
-        nothing -> {
-          server.connectHandler(this::accepted);
-          sweepTimer = vertx.setPeriodic(SWEEP_MILLIS, id -> sweep());
+        unused -> {
+          server.connectHandler(this::acceptConnection);
+          cleanupTimer = vertx.setPeriodic(CLEANUP_INTERVAL_MILLIS, id -> removeUnusedLinks());
           server
               .listen()
               .onSuccess(listening -> port = listening.actualPort())
@@ -135,10 +136,10 @@
     stopped = true;
     Promise<Void> done = Promise.promise();
     context.runOnContext(
-        nothing -> {
-          vertx.cancelTimer(sweepTimer);
+        unused -> {
+          vertx.cancelTimer(cleanupTimer);
           List.copyOf(sessions).forEach(session -> session.refuse(CloseReason.STOPPING));
-          links.values().forEach(link -> link.clear(DropReason.STOPPED));
+          links.values().forEach(link -> link.dropQueued(DropReason.STOPPED));
           Future.join(server.close(), client.close()).<Void>mapEmpty().onComplete(done);
         });
     return done.future();
@@ -152,7 +153,8 @@
   @Override
   public void send(DaemonId to, PeerMessage message) {
     Optional<PeerLink> link =
-        Optional.ofNullable(open.get(to)).or(() -> addresses.apply(to).map(this::link));
+        Optional.ofNullable(linksByDaemon.get(to))
+            .or(() -> addressLookup.apply(to).map(this::link));
     if (link.isEmpty()) {
       meters.dropped(DropReason.NO_ADDRESS, 1);
       return;
@@ -193,18 +195,19 @@
     }
     client
         .connect(link.address().port(), link.address().address())
-        .onSuccess(socket -> begin(socket, Handshake.Role.CONNECTING, Optional.of(link)))
+        .onSuccess(socket -> startSession(socket, Handshake.Role.CONNECTING, Optional.of(link)))
         .onFailure(cause -> link.failed());
   }
 
-  private void accepted(NetSocket socket) {
-    PeerSession session = begin(socket, Handshake.Role.ACCEPTING, Optional.empty());
-    if (inbound > settings.bounds().maximumInboundConnections()) {
+  private void acceptConnection(NetSocket socket) {
+    PeerSession session = startSession(socket, Handshake.Role.ACCEPTING, Optional.empty());
+    if (inboundConnections > settings.bounds().maximumInboundConnections()) {
       session.refuse(CloseReason.TOO_MANY_CONNECTIONS);
     }
   }
 
-  private PeerSession begin(NetSocket socket, Handshake.Role role, Optional<PeerLink> dialled) {
+  private PeerSession startSession(
+      NetSocket socket, Handshake.Role role, Optional<PeerLink> outboundLink) {
     PeerSession session =
         new PeerSession(
             vertx,
@@ -215,10 +218,10 @@
             codec,
             settings.bounds(),
             meters,
-            new SessionListener(role, dialled));
+            new SessionListener(role, outboundLink));
     sessions.add(session);
     if (role == Handshake.Role.ACCEPTING) {
-      inbound++;
+      inboundConnections++;
     }
     session.start();
     return session;
@@ -258,8 +261,8 @@
     }
   }
 
-  private void sweep() {
-    links.values().removeIf(PeerLink::isForgettable);
+  private void removeUnusedLinks() {
+    links.values().removeIf(PeerLink::isRemovable);
   }
 
   private static NetServerOptions serverOptions(PeerSettings settings) {
@@ -281,12 +284,12 @@
   private final class SessionListener implements PeerSession.Listener {
 
     private final Handshake.Role role;
-    private final Optional<PeerLink> dialled;
-    private Optional<PeerLink> attached = Optional.empty();
+    private final Optional<PeerLink> outboundLink;
+    private Optional<PeerLink> openedLink = Optional.empty();
 
-    SessionListener(Handshake.Role role, Optional<PeerLink> dialled) {
+    SessionListener(Handshake.Role role, Optional<PeerLink> outboundLink) {
       this.role = role;
-      this.dialled = dialled;
+      this.outboundLink = outboundLink;
     }
 
     /**
@@ -296,8 +299,8 @@
     @Override
     public Optional<CloseReason> refusal(Hello other) {
       Long newest = newestIncarnations.getIfPresent(other.daemon().host());
-      boolean old = newest != null && newest > other.daemon().incarnation();
-      return old ? Optional.of(CloseReason.OLD_INCARNATION) : Optional.empty();
+      boolean superseded = newest != null && newest > other.daemon().incarnation();
+      return superseded ? Optional.of(CloseReason.OLD_INCARNATION) : Optional.empty();
     }
 
     @Override
@@ -306,9 +309,9 @@
       meters.connected();
       newestIncarnations.put(daemon.host(), daemon.incarnation());
       closeSuperseded(daemon);
-      PeerLink link = dialled.orElseGet(() -> link(session.other().listening()));
-      attached = Optional.of(link);
-      open.put(daemon, link);
+      PeerLink link = outboundLink.orElseGet(() -> link(session.other().listening()));
+      openedLink = Optional.of(link);
+      linksByDaemon.put(daemon, link);
       link.opened(session);
     }
 
@@ -321,12 +324,12 @@
     public void closed(PeerSession session) {
       sessions.remove(session);
       if (role == Handshake.Role.ACCEPTING) {
-        inbound--;
+        inboundConnections--;
       }
-      if (attached.isPresent()) {
-        detach(session, attached.get());
+      if (openedLink.isPresent()) {
+        detach(session, openedLink.get());
       } else {
-        dialled.ifPresent(PeerLink::failed);
+        outboundLink.ifPresent(PeerLink::failed);
       }
     }
 
@@ -341,8 +344,8 @@
       if (other.isPresent()) {
         link.opened(other.get());
       } else {
-        open.remove(daemon, link);
-        lostListeners.forEach(listener -> listener.accept(daemon));
+        linksByDaemon.remove(daemon, link);
+        connectionLostListeners.forEach(listener -> listener.accept(daemon));
       }
     }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerSession.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerSession.java
@@ -45,7 +45,7 @@
   private final long handshakeTimer;
 
   private Optional<Hello> other = Optional.empty();
-  private boolean lengthNext = true;
+  private boolean expectsLength = true;
   private boolean open;
   private boolean closed;
 
@@ -69,11 +69,12 @@
     this.meters = meters;
     this.listener = listener;
     this.parser = RecordParser.newFixed(LENGTH_BYTES, this::record);
-    this.handshakeTimer = vertx.setTimer(bounds.handshakeTimeoutMillis(), id -> timedOut());
+    this.handshakeTimer =
+        vertx.setTimer(bounds.handshakeTimeoutMillis(), id -> handleHandshakeTimeout());
   }
 
   void start() {
-    socket.closeHandler(nothing -> gone());
+    socket.closeHandler(unused -> handleClose());
     socket.exceptionHandler(cause -> socket.close());
     socket.handler(parser);
     if (role == Handshake.Role.CONNECTING) {
@@ -94,8 +95,8 @@
     return socket.writeQueueFull();
   }
 
-  void onDrain(Runnable action) {
-    socket.drainHandler(nothing -> action.run());
+  void onWritable(Runnable action) {
+    socket.drainHandler(unused -> action.run());
   }
 
   void write(Buffer frames) {
@@ -107,10 +108,10 @@
     if (closed) {
       return;
     }
-    meters.refusalGiven(reason);
+    meters.refusalSent(reason);
     write(new CloseFrame(reason));
     socket.close();
-    gone();
+    handleClose();
   }
 
   private void write(PeerMessage message) {
@@ -128,25 +129,25 @@
     if (closed) {
       return;
     }
-    if (lengthNext) {
-      body(record.getInt(0));
+    if (expectsLength) {
+      expectBody(record.getInt(0));
       return;
     }
-    lengthNext = true;
+    expectsLength = true;
     parser.fixedSizeMode(LENGTH_BYTES);
-    message(record.getBytes());
+    handleBody(record.getBytes());
   }
 
-  private void body(int length) {
+  private void expectBody(int length) {
     if (length <= 0 || length > bounds.maximumFrameBytes()) {
       refuse(CloseReason.MALFORMED_FRAME);
       return;
     }
-    lengthNext = false;
+    expectsLength = false;
     parser.fixedSizeMode(length);
   }
 
-  private void message(byte[] body) {
+  private void handleBody(byte[] body) {
     try {
       PeerMessage message = codec.decode(body);
       meters.received(PeerMessageType.ofClass(message.getClass()), LENGTH_BYTES + body.length);
@@ -158,12 +159,12 @@
 
   private void dispatch(PeerMessage message) {
     if (message instanceof CloseFrame closeFrame) {
-      meters.refusalTaken(closeFrame.reason());
+      meters.refusalReceived(closeFrame.reason());
       socket.close();
     } else if (message instanceof Hello hello) {
-      greeted(hello);
+      handleHello(hello);
     } else if (message instanceof HelloProof proof) {
-      proven(proof);
+      handleProof(proof);
     } else if (open) {
       listener.received(this, message);
     } else {
@@ -171,7 +172,7 @@
     }
   }
 
-  private void greeted(Hello hello) {
+  private void handleHello(Hello hello) {
     if (other.isPresent()) {
       refuse(CloseReason.UNEXPECTED_MESSAGE);
       return;
@@ -186,12 +187,12 @@
       write(own.withProof(handshake.proof(role, hello, own)));
       return;
     }
-    boolean proven =
+    boolean isProven =
         hello
             .proof()
             .filter(proof -> handshake.isProven(proof, Handshake.Role.ACCEPTING, own, hello))
             .isPresent();
-    if (!proven) {
+    if (!isProven) {
       refuse(CloseReason.WRONG_PROOF);
       return;
     }
@@ -199,7 +200,7 @@
     open();
   }
 
-  private void proven(HelloProof proof) {
+  private void handleProof(HelloProof proof) {
     if (role == Handshake.Role.CONNECTING || other.isEmpty() || open) {
       refuse(CloseReason.UNEXPECTED_MESSAGE);
       return;
@@ -222,13 +223,13 @@
     listener.opened(this);
   }
 
-  private void timedOut() {
+  private void handleHandshakeTimeout() {
     if (!open) {
       refuse(CloseReason.HANDSHAKE_TIMEOUT);
     }
   }
 
-  private void gone() {
+  private void handleClose() {
     if (closed) {
       return;
     }
