--- a/daemon/src/test/java/org/marjoramsail/daemon/peer/PeerCodecTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/peer/PeerCodecTest.java
@@ -34,31 +34,31 @@
   private final PeerCodec codec = new PeerCodec(MAXIMUM_BYTES);
 
   @Property(seed = "4101", tries = 500)
-  void whatIsEncodedIsDecodedAsTheSame(@ForAll("messages") PeerMessage message)
+  void anEncodedMessageDecodesToAnEqualMessage(@ForAll("messages") PeerMessage message)
       throws PeerCodecException {
     assertThat(codec.decode(codec.encode(message))).isEqualTo(message);
   }
 
   @Property(seed = "4102", tries = 3000)
-  void arbitraryBytesAreAMessageOrATypedException(@ForAll byte[] body) {
-    assertDecodesOrFailsTyped(body);
+  void arbitraryBytesDecodeToAMessageOrFailWithATypedException(@ForAll byte[] body) {
+    assertDecodesOrFailsWithTypedException(body);
   }
 
   @Property(seed = "4103", tries = 3000)
-  void aDamagedMessageIsAMessageOrATypedException(
+  void aCorruptedMessageDecodesToAMessageOrFailsWithATypedException(
       @ForAll("messages") PeerMessage message, @ForAll long seed) throws PeerCodecException {
     byte[] body = codec.encode(message);
     Random random = new Random(seed);
-    for (int damage = 0; damage < 3; damage++) {
+    for (int corruption = 0; corruption < 3; corruption++) {
       body[random.nextInt(body.length)] = (byte) random.nextInt();
     }
-    assertDecodesOrFailsTyped(body);
+    assertDecodesOrFailsWithTypedException(body);
   }
 
   @Test
-  void aClaimedStringOfTwoGigabytesIsRefusedBeforeRoomIsMadeForIt() {
-    byte claim = (byte) 0xdb;
-    byte[] body = ByteBuffer.allocate(7).put((byte) 0x92).put((byte) 4).put(claim).array();
+  void aDeclaredStringLengthOfTwoGigabytesIsRejectedBeforeAllocation() {
+    byte stringHeader = (byte) 0xdb;
+    byte[] body = ByteBuffer.allocate(7).put((byte) 0x92).put((byte) 4).put(stringHeader).array();
     ByteBuffer.wrap(body).putInt(3, Integer.MAX_VALUE);
     assertThatExceptionOfType(PeerCodecException.class)
         .isThrownBy(() -> codec.decode(body))
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void aFieldThatThisVersionDoesNotKnowIsSkipped() throws PeerCodecException {
+  void anUnknownFieldIsIgnored() throws PeerCodecException {
     // {sequence: 7, updates: [], newer: 1} as a PingMessage.
     byte[] body =
         concatenate(
@@ -81,14 +81,14 @@
   }
 
   @Test
-  void aMessageBeyondTheBoundHasNoBytes() {
-    PeerCodec small = new PeerCodec(16);
+  void encodingAMessageAboveTheMaximumSizeFails() {
+    PeerCodec limitedCodec = new PeerCodec(16);
     assertThatExceptionOfType(PeerCodecException.class)
-        .isThrownBy(() -> small.encode(new HelloProof("a proof of more than sixteen bytes")))
+        .isThrownBy(() -> limitedCodec.encode(new HelloProof("a proof of more than sixteen bytes")))
         .satisfies(e -> assertThat(e.fault()).isEqualTo(Fault.TOO_LARGE));
   }
 
-  private void assertDecodesOrFailsTyped(byte[] body) {
+  private void assertDecodesOrFailsWithTypedException(byte[] body) {
     try {
       assertThat(codec.decode(body)).isNotNull();
     } catch (PeerCodecException e) {
@@ -139,9 +139,9 @@
   }
 
   private static Hello hello(
-      Integer protocol, DaemonId daemon, String word, Optional<String> proof) {
-    PeerAddress listening = new PeerAddress(word, protocol);
-    return new Hello(protocol, word, daemon, listening, word, word, word, proof);
+      Integer protocol, DaemonId daemon, String value, Optional<String> proof) {
+    PeerAddress listening = new PeerAddress(value, protocol);
+    return new Hello(protocol, value, daemon, listening, value, value, value, proof);
   }
 
   private static Arbitrary<String> text() {
