--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/AdjustablePeerFaults.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/AdjustablePeerFaults.java
@@ -5,15 +5,15 @@
 import java.util.random.RandomGenerator;
 import org.marjoramsail.core.model.DaemonId;
 
-/** Faults that a test or a soak changes while daemons run. Safe for use by several threads. */
+/** Network faults that a test can change while daemons run. Safe for use by several threads. */
 public final class AdjustablePeerFaults implements PeerFaults {
 
   /**
-   * How often messages meet a fault.
+   * Probabilities of the faults.
    *
-   * @param dropped share of messages that vanish, from 0 to 1
-   * @param duplicated share of messages that arrive twice, from 0 to 1
-   * @param longestDelayMillis messages arrive up to this much later, in milliseconds
+   * @param dropped share of messages that are lost, from 0 to 1
+   * @param duplicated share of messages that are delivered twice, from 0 to 1
+   * @param longestDelayMillis largest random delay of a message, in milliseconds
    */
   public record Rates(double dropped, double duplicated, long longestDelayMillis) {
 
@@ -34,26 +34,26 @@
   private final Set<HostPair> partitions = new HashSet<>();
   private Rates rates = Rates.NONE;
 
-  /** Creates an instance with the source of chance. */
+  /** Creates an instance with the source of randomness. */
   public AdjustablePeerFaults(RandomGenerator random) {
     this.random = random;
   }
 
-  /** Sets how often messages meet a fault from now on. */
+  /** Sets the probabilities of the faults for all later messages. */
   public void setRates(Rates newRates) {
     synchronized (lock) {
       rates = newRates;
     }
   }
 
-  /** Lets no message pass between two hosts, either way. */
+  /** Drops all messages between two hosts, in both directions. */
   public void partition(String host, String otherHost) {
     synchronized (lock) {
       partitions.add(HostPair.between(host, otherHost));
     }
   }
 
-  /** Ends a cut. */
+  /** Ends the partition of two hosts. */
   public void heal(String host, String otherHost) {
     synchronized (lock) {
       partitions.remove(HostPair.between(host, otherHost));
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/CloseFrame.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/CloseFrame.java
@@ -4,9 +4,9 @@
 import org.marjoramsail.core.message.PeerMessage;
 
 /**
- * The last frame before a connection is closed.
+ * Last frame that a daemon sends before it closes a connection.
  *
- * @param reason why
+ * @param reason the reason for which it closes the connection
  */
 record CloseFrame(CloseReason reason) implements PeerMessage {
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/CloseReason.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/CloseReason.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Why a daemon closes a connection; each has its counter. */
+/** Reason for which a daemon closes a connection; each has a counter. */
 public enum CloseReason {
   OTHER_PROTOCOL,
   OTHER_CLUSTER,
@@ -15,7 +15,7 @@
   MALFORMED_FRAME,
   STOPPING;
 
-  /** The reason in lower case with hyphens, as counters show it. */
+  /** Returns the reason in lower case with hyphens, as counters show it. */
   public String code() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/DropReason.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/DropReason.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Why a message was not sent or not given to its handler; each has its counter. */
+/** Reason for which a message was not sent or not handled; each has a counter. */
 enum DropReason {
   NO_ADDRESS,
   QUEUE_FULL,
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/Handshake.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/Handshake.java
@@ -12,11 +12,10 @@
 import org.marjoramsail.core.membership.PeerAddress;
 
 /**
- * The proof, both ways, that two daemons hold the same cluster key, and the checks of what each
- * says of itself.
+ * Mutual authentication of two daemons by their cluster key, and validation of their hello frames.
  *
- * <p>A proof covers both nonces, both sides' words and the role of the prover, so that it serves
- * for one connection only and cannot be reflected to the side that gave it.
+ * <p>A proof is an HMAC over both hello frames, with their nonces, and the role of the prover. This
+ * guards against replay on another connection and against reflection to the side that sent it.
  */
 final class Handshake {
 
@@ -25,7 +24,7 @@
   private static final String ALGORITHM = "HmacSHA256";
   private static final int NONCE_BYTES = 16;
 
-  /** Which side of a connection gives a proof. */
+  /** Side of a connection. */
   enum Role {
     CONNECTING,
     ACCEPTING
@@ -34,7 +33,7 @@
   private final PeerSettings settings;
   private final RandomGenerator random;
 
-  /** Takes randomness that a stranger must not be able to foretell. */
+  /** Creates an instance; {@code random} must be cryptographically secure. */
   Handshake(PeerSettings settings, RandomGenerator random) {
     this.settings = settings;
     this.random = random;
@@ -54,7 +53,7 @@
         Optional.empty());
   }
 
-  /** Why a daemon that says this of itself is not talked to, before any proof. */
+  /** Returns the reason to refuse a daemon by its hello frame, before it is authenticated. */
   Optional<CloseReason> refusal(Hello other) {
     if (other.protocol() != PROTOCOL) {
       return Optional.of(CloseReason.OTHER_PROTOCOL);
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/Hello.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/Hello.java
@@ -7,17 +7,17 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * The first frame each way.
+ * First frame in each direction of a connection.
  *
  * @param protocol the version of the protocol between daemons
- * @param cluster the name of the sender's fleet
- * @param daemon the sender's run
- * @param listening where the sender listens
- * @param availabilityZone where the sender runs
+ * @param cluster the name of the sender's cluster
+ * @param daemon the sender's incarnation
+ * @param listening the address on which the sender listens
+ * @param availabilityZone the availability zone of the sender
  * @param region the region of that availability zone
- * @param nonce random; the other side's proof covers it
- * @param proof of the accepting side, over both nonces; absent from the connecting side, which
- *     proves itself in its next frame
+ * @param nonce a random value, which the proof of the other side covers
+ * @param proof the proof of the accepting side; absent from the connecting side, which sends its
+ *     proof in a {@link HelloProof}
  */
 record Hello(
     int protocol,
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/HelloProof.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/HelloProof.java
@@ -4,9 +4,9 @@
 import org.marjoramsail.core.message.PeerMessage;
 
 /**
- * The connecting side's proof that it holds the cluster key.
+ * Second frame of the connecting side, which proves that it holds the cluster key.
  *
- * @param proof over both nonces
+ * @param proof an HMAC over both hello frames; see {@link Handshake}
  */
 record HelloProof(String proof) implements PeerMessage {
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/OutboundFrame.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/OutboundFrame.java
@@ -5,11 +5,11 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * A message that waits to be written.
+ * Encoded message that is queued for writing.
  *
- * @param type what it is
- * @param recipient the run that it is for; absent when any run at the address will do
- * @param bytes its length and its body
+ * @param type the type of the message
+ * @param recipient the incarnation that may receive it; absent if any daemon at the address may
+ * @param bytes the frame: the length of the body, then the body
  */
 record OutboundFrame(PeerMessageType type, Optional<DaemonId> recipient, Buffer bytes) {
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerBounds.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerBounds.java
@@ -1,17 +1,19 @@
 package org.marjoramsail.daemon.peer;
 
 /**
- * What one daemon spends at most on its connections to others.
+ * Limits of the connections between a daemon and its peers.
  *
- * @param maximumFrameBytes the largest body of a frame, in bytes
- * @param maximumInboundConnections connections accepted from others at one time
- * @param maximumQueuedBytes bytes that wait for one daemon; what is beyond is dropped
- * @param maximumBatchBytes bytes of small frames that are written at once
- * @param handshakeTimeoutMillis how long a connection may stay unproven, in milliseconds
- * @param connectTimeoutMillis how long connecting may take, in milliseconds
- * @param firstBackoffMillis the longest wait after one failed connect, in milliseconds
- * @param longestBackoffMillis the longest wait after many failed connects, in milliseconds
- * @param idleTimeoutSeconds how long a connection without a frame is kept, in seconds
+ * @param maximumFrameBytes the maximum size of the body of a frame, in bytes
+ * @param maximumInboundConnections the maximum number of accepted connections that are open
+ * @param maximumQueuedBytes the maximum size of the queue for one peer, in bytes; further messages
+ *     are dropped
+ * @param maximumBatchBytes the size at which a batch of frames is written, in bytes
+ * @param handshakeTimeoutMillis the timeout of the handshake, in milliseconds
+ * @param connectTimeoutMillis the timeout of a connection attempt, in milliseconds
+ * @param firstBackoffMillis the maximum back-off after one failed connection attempt, in
+ *     milliseconds
+ * @param longestBackoffMillis the maximum back-off after repeated failures, in milliseconds
+ * @param idleTimeoutSeconds the time after which an idle connection is closed, in seconds
  */
 public record PeerBounds(
     int maximumFrameBytes,
@@ -27,7 +29,7 @@
   private static final int KIBIBYTE = 1024;
   private static final int MEBIBYTE = 1024 * KIBIBYTE;
 
-  /** Bounds that fit a fleet of some hundred daemons. */
+  /** Returns limits for a fleet of a few hundred daemons. */
   public static PeerBounds defaults() {
     return new PeerBounds(
         MEBIBYTE, 1024, 4 * MEBIBYTE, 64 * KIBIBYTE, 2_000, 1_000, 100, 2_000, 300);
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerCodec.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerCodec.java
@@ -18,9 +18,9 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Turns messages into MessagePack bodies, {@code [type number, record]}, and back.
+ * Encodes and decodes messages as MessagePack bodies of the form {@code [type number, record]}.
  *
- * <p>Unknown fields are skipped, so that a newer daemon can add one. Safe for use by several
+ * <p>Unknown fields are ignored, so that a newer version can add fields. Safe for use by several
  * threads.
  */
 public final class PeerCodec {
@@ -28,7 +28,7 @@
   private final int maximumBytes;
   private final ObjectMapper mapper;
 
-  /** Creates an instance with the largest body, in bytes. */
+  /** Creates an instance with the maximum size of a body, in bytes. */
   public PeerCodec(int maximumBytes) {
     this.maximumBytes = maximumBytes;
     this.mapper =
@@ -41,7 +41,7 @@
             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
   }
 
-  /** The body of a message. */
+  /** Encodes a message as a body. */
   public byte[] encode(PeerMessage message) throws PeerCodecException {
     PeerMessageType type = PeerMessageType.ofClass(message.getClass());
     byte[] body = write(type, message);
@@ -52,10 +52,10 @@
     return body;
   }
 
-  /** The message of a body. */
+  /** Decodes a body. */
   public PeerMessage decode(byte[] body) throws PeerCodecException {
     if (body.length == 0) {
-      throw new PeerCodecException(Fault.EMPTY, 0, "a body has at least one byte");
+      throw new PeerCodecException(Fault.EMPTY, 0, "the body must not be empty");
     }
     if (body.length > maximumBytes) {
       throw new PeerCodecException(
@@ -74,9 +74,11 @@
   }
 
   /**
-   * A few hostile bytes can claim a string of two gigabytes, for which the parser would make room
-   * before it finds the body too short; a stranger could so end the process. Walking the body first
-   * allocates nothing and fails on each length that the body does not have.
+   * Checks that every declared length lies within the body.
+   *
+   * <p>This guards against exhaustion of the heap: the parser allocates a declared string length of
+   * up to two gigabytes before it finds the body too short. Skipping over the values allocates
+   * nothing.
    */
   private static void checkLengths(byte[] body) throws PeerCodecException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(body)) {
@@ -87,7 +89,10 @@
       }
     } catch (IOException | MessagePackException e) {
       throw new PeerCodecException(
-          Fault.NOT_MESSAGE_PACK, body.length, "it is cut or has an impossible length", e);
+          Fault.NOT_MESSAGE_PACK,
+          body.length,
+          "the body is truncated or declares an invalid length",
+          e);
     }
   }
 
@@ -96,7 +101,7 @@
       if (parser.nextToken() != JsonToken.START_ARRAY
           || parser.nextToken() != JsonToken.VALUE_NUMBER_INT) {
         throw new PeerCodecException(
-            Fault.NOT_A_MESSAGE, body.length, "it is not [type number, record]");
+            Fault.NOT_A_MESSAGE, body.length, "the body is not [type number, record]");
       }
       PeerMessageType type = typeOf(parser.getIntValue(), body);
       if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -105,13 +110,13 @@
       PeerMessage message = mapper.readValue(parser, type.message());
       if (parser.nextToken() != JsonToken.END_ARRAY) {
         throw new PeerCodecException(
-            Fault.NOT_A_MESSAGE, body.length, type + " has more than a record");
+            Fault.NOT_A_MESSAGE, body.length, type + " has data after its record");
       }
       return message;
     } catch (IOException | RuntimeException e) {
-      // The parser reports some malformed bodies as unchecked exceptions; all mean the same here.
+      // The parser also throws unchecked exceptions for some malformed bodies.
       throw new PeerCodecException(
-          Fault.OTHER_FIELDS, body.length, "its fields are not those of the record", e);
+          Fault.OTHER_FIELDS, body.length, "the fields do not match the record", e);
     }
   }
 
@@ -120,6 +125,6 @@
         .orElseThrow(
             () ->
                 new PeerCodecException(
-                    Fault.UNKNOWN_TYPE, body.length, "no record has the number " + number));
+                    Fault.UNKNOWN_TYPE, body.length, "no message type has the number " + number));
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerCodecException.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerCodecException.java
@@ -2,12 +2,12 @@
 
 import org.marjoramsail.core.failure.MarjoramsailException;
 
-/** Bytes that are no message of this protocol, or a message that has no bytes. */
+/** Thrown when a body cannot be decoded as a message, or a message cannot be encoded. */
 public final class PeerCodecException extends MarjoramsailException {
 
   private static final long serialVersionUID = 1L;
 
-  /** What is wrong with it. */
+  /** Kind of failure. */
   public enum Fault {
     EMPTY,
     TOO_LARGE,
@@ -33,12 +33,12 @@
     this.length = length;
   }
 
-  /** What is wrong. */
+  /** Returns the kind of failure. */
   public Fault fault() {
     return fault;
   }
 
-  /** How many bytes the body had. */
+  /** Returns the length of the body in bytes; zero if there is none. */
   public int length() {
     return length;
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerFaults.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerFaults.java
@@ -3,37 +3,36 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * Faults of the network between daemons, injected where a message arrives; for tests and soaks.
+ * Network faults that are injected when a message is received; for tests.
  *
- * <p>The connections themselves stay: a cut shows as messages that vanish, as behind a switch that
- * drops packets.
+ * <p>Connections stay open: a network partition appears as lost messages.
  */
 @FunctionalInterface
 public interface PeerFaults {
 
-  /** Every message arrives once, at once. */
+  /** Delivers every message once, without delay. */
   PeerFaults NONE = (from, to) -> Arrival.NORMAL;
 
   /**
-   * Decides the fate of one message; called on any thread.
+   * Returns how to deliver a message; called on any thread.
    *
-   * @param from who sent it
-   * @param to who gets it
+   * @param from the sender
+   * @param to the recipient
    */
   Arrival arrival(DaemonId from, DaemonId to);
 
   /**
-   * How a message arrives.
+   * Delivery of a message.
    *
-   * @param copies how many times; zero drops it
-   * @param delayMillis how much later, in milliseconds
+   * @param copies the number of deliveries; zero drops the message
+   * @param delayMillis the delay, in milliseconds
    */
   record Arrival(int copies, long delayMillis) {
 
-    /** Once, at once. */
+    /** One delivery without delay. */
     public static final Arrival NORMAL = new Arrival(1, 0);
 
-    /** Never. */
+    /** No delivery. */
     public static final Arrival DROPPED = new Arrival(0, 0);
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerLink.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerLink.java
@@ -11,13 +11,13 @@
 import org.marjoramsail.core.time.Clock;
 
 /**
- * The messages for one address: a bounded queue, and the connection over which it is emptied.
+ * Bounded queue of messages for one address, with the connection that sends them.
  *
- * <p>Any thread may queue; everything else runs on the one event loop of the {@link PeerNetwork}.
+ * <p>Messages may be queued on any thread; all else runs on the event loop of {@link PeerNetwork}.
  */
 final class PeerLink {
 
-  /** Connects; the link hears of it by {@link #opened} or {@link #failed}. */
+  /** Opens a connection and reports the result by {@link #opened} or {@link #failed}. */
   @FunctionalInterface
   interface Connector {
     void connect(PeerLink link);
@@ -69,7 +69,7 @@
     return address;
   }
 
-  /** Queues a message or drops it; urgent ones push out ordinary ones. */
+  /** Queues a message, or drops it if the queue is full; urgent messages evict ordinary ones. */
   void queue(OutboundFrame frame) {
     boolean scheduleFlush;
     synchronized (lock) {
@@ -90,7 +90,7 @@
     }
   }
 
-  /** Handles a proven connection, unless there is one already. */
+  /** Uses an authenticated connection for this link, unless another one is open. */
   void opened(PeerSession openedSession) {
     connecting = false;
     failures = 0;
@@ -100,7 +100,7 @@
     flush();
   }
 
-  /** A connection attempt came to nothing; what waits is too old by the next one. */
+  /** Handles a failed connection attempt; drops the queued messages, which would become stale. */
   void failed() {
     connecting = false;
     earliestConnectMillis = clock.millis() + backoffMillis();
@@ -128,7 +128,7 @@
     meters.dropped(reason, dropped);
   }
 
-  /** Whether forgetting it loses nothing but its count of failures. */
+  /** Returns whether the link is idle and can be removed; only its failure count is lost. */
   boolean isRemovable() {
     synchronized (lock) {
       return session.isEmpty()
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerMessageType.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerMessageType.java
@@ -32,10 +32,10 @@
 import org.marjoramsail.daemon.operator.OperatorResultMessage;
 
 /**
- * The number that stands for each record on the wire.
+ * Type of a message between daemons, with its number on the wire.
  *
- * <p>A number is never given to another record. Ranges: 1-19 connections and membership, 20-49
- * placement, 50-69 configuration, 70-89 outcomes and quarantine, 90-109 operators' questions.
+ * <p>Numbers are never reused. Ranges: 1-19 connections and membership, 20-49 placement, 50-69
+ * configuration, 70-89 outcomes and quarantine, 90-109 operator requests.
  */
 public enum PeerMessageType {
   HELLO(1, Hello.class),
@@ -90,22 +90,25 @@
     this.message = message;
   }
 
-  /** What stands on the wire. */
+  /** Returns the number on the wire. */
   public int number() {
     return number;
   }
 
-  /** The record that it stands for. */
+  /** Returns the class of the record. */
   public Class<? extends PeerMessage> message() {
     return message;
   }
 
-  /** Whether it goes before the others when messages wait, so that load looks like no death. */
+  /**
+   * Returns whether queued messages of this type are sent before others, which guards against
+   * failure detection by mistake under load.
+   */
   public boolean isUrgent() {
     return number <= LAST_MEMBERSHIP_NUMBER;
   }
 
-  /** The records of a part of the program whose common type is {@code family}. */
+  /** Returns the message classes that implement {@code family}. */
   public static List<Class<? extends PeerMessage>> ofFamily(Class<? extends PeerMessage> family) {
     return Arrays.stream(values())
         .<Class<? extends PeerMessage>>map(PeerMessageType::message)
@@ -113,7 +116,7 @@
         .toList();
   }
 
-  /** The records that lie in the package of {@code packageMember}. */
+  /** Returns the message classes in the package of {@code packageMember}. */
   public static List<Class<? extends PeerMessage>> ofPackage(Class<?> packageMember) {
     return Arrays.stream(values())
         .<Class<? extends PeerMessage>>map(PeerMessageType::message)
@@ -121,15 +124,15 @@
         .toList();
   }
 
-  /** The type with this number, if this version of the protocol knows one. */
+  /** Returns the type with a number, if this version of the protocol defines it. */
   public static Optional<PeerMessageType> ofNumber(int number) {
     return Optional.ofNullable(BY_NUMBER.get(number));
   }
 
   /**
-   * The type of a record.
+   * Returns the type of a message class.
    *
-   * @throws IllegalArgumentException when the class has no number, which is a fault in the program
+   * @throws IllegalArgumentException if the class has no number, which is a programming error
    */
   public static PeerMessageType ofClass(Class<? extends PeerMessage> message) {
     PeerMessageType type = BY_CLASS.get(message);
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerMeters.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerMeters.java
@@ -8,7 +8,7 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 
-/** The counters of the connections to other daemons. */
+/** Metrics of the connections to other daemons. */
 final class PeerMeters {
 
   private static final String PREFIX = "marjoramsail.peer.";
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerNetwork.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerNetwork.java
@@ -32,11 +32,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The connections of this daemon with all others.
+ * Connections of this daemon to all peers.
  *
- * <p>It connects when there is something to send, keeps one connection for both directions where it
- * can, and closes what is idle. Connections live on one event loop; messages may be sent from any
- * thread, and are handled on that event loop.
+ * <p>A connection is opened when a message is to be sent, serves both directions if possible, and
+ * is closed when idle. All connections use one event loop, on which received messages are handled;
+ * messages may be sent from any thread.
  */
 public final class PeerNetwork implements PeerTransport {
 
@@ -71,11 +71,11 @@
   private volatile boolean stopped;
 
   /**
-   * Creates an instance with all that it works with; nothing happens before {@link #start}.
+   * Creates an instance, which neither listens nor connects before {@link #start}.
    *
-   * @param random chance for nonces and back-off; a stranger must not be able to foretell it
-   * @param addressLookup where a run of a daemon listens, as membership knows it; called on any
-   *     thread
+   * @param random randomness for nonces and back-off; must be cryptographically secure
+   * @param addressLookup returns the address of an incarnation from the membership view; called on
+   *     any thread
    * @param faults {@link PeerFaults#NONE} outside of tests
    */
   public PeerNetwork(
@@ -101,21 +101,22 @@
     newestIncarnations.put(settings.self().host(), settings.self().incarnation());
   }
 
-  /** Gives messages of a class to a handler, from now on; a later handler replaces it. */
+  /** Registers the handler of a message class; replaces an earlier handler. */
   public void register(Class<? extends PeerMessage> message, PeerMessageHandler handler) {
     PeerMessageType.ofClass(message);
     handlers.put(message, handler);
   }
 
   /**
-   * Tells a listener of each run to which the last connection has closed: it may have died, sooner
-   * than membership can know.
+   * Registers a listener for incarnations to which the last connection has closed.
+   *
+   * <p>Such a daemon may have failed; the failure detector takes longer to find out.
    */
   public void onConnectionLost(Consumer<DaemonId> listener) {
     connectionLostListeners.add(listener);
   }
 
-  /** Listens; gives the port on which it does. */
+  /** Starts to listen; completes with the port. */
   public Future<Integer> start() {
     Promise<Integer> started = Promise.promise();
     context.runOnContext(
@@ -131,7 +132,7 @@
     return started.future();
   }
 
-  /** Says goodbye to all, and closes all connections and the port. */
+  /** Sends a close frame to all peers, and closes all connections and the port. */
   public Future<Void> stop() {
     stopped = true;
     Promise<Void> done = Promise.promise();
@@ -145,7 +146,7 @@
     return done.future();
   }
 
-  /** The run and the address of this daemon, once it listens. */
+  /** Returns the address of this daemon, once it listens. */
   public PeerAddress listening() {
     return new PeerAddress(settings.listenAddress(), port);
   }
@@ -162,7 +163,7 @@
     queue(link.get(), Optional.of(to), message);
   }
 
-  /** Sends to whichever daemon listens at an address; for those whose run is not known yet. */
+  /** Sends to the daemon at an address, whatever its incarnation; for seeds. */
   public void send(PeerAddress to, PeerMessage message) {
     queue(link(to), Optional.empty(), message);
   }
@@ -250,14 +251,14 @@
     try {
       handler.handle(from, message);
     } catch (RuntimeException e) {
-      // A message that a handler cannot bear must not close the connection for all others.
+      // One failed message must not close the connection for all others.
       meters.dropped(DropReason.HANDLER_FAILED, 1);
       LOGGER
           .atError()
           .addKeyValue("from", from)
           .addKeyValue("message", message.getClass().getSimpleName())
           .setCause(e)
-          .log("A handler of peer messages failed");
+          .log("A peer message handler failed");
     }
   }
 
@@ -280,7 +281,7 @@
         .setIdleTimeout(bounds.idleTimeoutSeconds());
   }
 
-  /** Keeps the maps of links and runs in step with one connection. */
+  /** Updates the maps of links when a connection opens or closes. */
   private final class SessionListener implements PeerSession.Listener {
 
     private final Handshake.Role role;
@@ -293,8 +294,10 @@
     }
 
     /**
-     * A daemon that was paused while its successor started on the same host would go on speaking
-     * for that host; others would see its state go back. Whoever has met the successor refuses it.
+     * Refuses an older incarnation than the newest one that has connected from the same host.
+     *
+     * <p>This guards against a paused daemon that resumes after its successor has started, and
+     * would overwrite the successor's state.
      */
     @Override
     public Optional<CloseReason> refusal(Hello other) {
@@ -333,7 +336,10 @@
       }
     }
 
-    /** Two daemons that dial each other at once have two connections; the other one takes over. */
+    /**
+     * Switches the link to another open connection, which exists if both daemons connected at the
+     * same time; otherwise reports the loss.
+     */
     private void detach(PeerSession session, PeerLink link) {
       DaemonId daemon = session.other().daemon();
       link.closed(session);
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerSession.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerSession.java
@@ -8,7 +8,7 @@
 import org.marjoramsail.core.message.PeerMessage;
 
 /**
- * One TCP connection with another daemon, from its first byte to its close.
+ * One TCP connection to another daemon, with its handshake and framing.
  *
  * <p>All methods run on the one event loop of the {@link PeerNetwork}.
  */
@@ -16,19 +16,19 @@
 
   private static final int LENGTH_BYTES = Integer.BYTES;
 
-  /** What the owner of a session is told. */
+  /** Receives the events of a session. */
   interface Listener {
 
-    /** Why this proven daemon is refused all the same, if it is. */
+    /** Returns the reason to refuse an authenticated daemon, if there is one. */
     Optional<CloseReason> refusal(Hello other);
 
-    /** The handshake is done; messages may be written. */
+    /** Called when the handshake has completed; messages may be written from now on. */
     void opened(PeerSession session);
 
-    /** A message came after the handshake. */
+    /** Called for each message after the handshake. */
     void received(PeerSession session, PeerMessage message);
 
-    /** The connection is gone, whether or not it was ever open. */
+    /** Called once when the connection has closed, also if the handshake had not completed. */
     void closed(PeerSession session);
   }
 
@@ -82,7 +82,7 @@
     }
   }
 
-  /** What the other side said of itself; present once the session is open. */
+  /** Returns the hello frame of the other side; present once the session is open. */
   Hello other() {
     return other.orElseThrow();
   }
@@ -103,7 +103,7 @@
     socket.write(frames);
   }
 
-  /** Says why, and closes. */
+  /** Sends a close frame with the reason, and closes the connection. */
   void refuse(CloseReason reason) {
     if (closed) {
       return;
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerSettings.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerSettings.java
@@ -3,17 +3,17 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * What a daemon tells others of itself, and how it listens for them.
+ * Identity of a daemon towards its peers, and settings of its connections.
  *
- * @param listenAddress the IP number to listen on, by which others reach it
- * @param port the TCP port to listen on; zero for one that the system chooses
- * @param cluster the name of the fleet; daemons of other fleets are refused
- * @param clusterKey the secret of the fleet, proven in each handshake and never sent
- * @param self this run of this daemon
- * @param availabilityZone where it runs
+ * @param listenAddress the IP address to listen on, which peers connect to
+ * @param port the TCP port to listen on; zero lets the system choose one
+ * @param cluster the name of the cluster; daemons of other clusters are refused
+ * @param clusterKey the shared secret of the cluster, proven in each handshake and never sent
+ * @param self this incarnation of the daemon
+ * @param availabilityZone the availability zone of the host
  * @param region the region of that availability zone
- * @param bounds what it spends at most
- * @param milliCores what the host gives it of a processor, in thousandths of a core; zero if
+ * @param bounds the limits of its connections
+ * @param milliCores the processor capacity available to it, in thousandths of a core; zero if
  *     unknown
  */
 public record PeerSettings(
@@ -27,7 +27,7 @@
     PeerBounds bounds,
     int milliCores) {
 
-  /** A daemon that does not know what its host gives it of a processor. */
+  /** Creates settings with an unknown processor capacity. */
   public PeerSettings(
       String listenAddress,
       int port,
@@ -40,7 +40,7 @@
     this(listenAddress, port, cluster, clusterKey, self, availabilityZone, region, bounds, 0);
   }
 
-  /** Names the daemon without the secret, which must not reach a log. */
+  /** Returns a text without the cluster key, which must not be logged. */
   @Override
   public String toString() {
     return "PeerSettings[" + self + " of " + cluster + " on " + listenAddress + ":" + port + "]";
--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/package-info.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Other daemons: TCP connections with a mutual handshake, over which typed messages travel as
- * length-framed MessagePack.
+ * TCP connections between daemons, with mutual authentication and typed messages, which are encoded
+ * as length-prefixed MessagePack.
  */
 package org.marjoramsail.daemon.peer;
--- a/daemon/src/test/java/org/marjoramsail/daemon/peer/PeerNetworkTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/peer/PeerNetworkTest.java
@@ -29,7 +29,7 @@
 import org.marjoramsail.core.model.DaemonId;
 import org.marjoramsail.core.time.Clock;
 
-/** Real sockets on loopback; every wait is for an event, with a limit only against hanging. */
+/** Tests over loopback sockets; each wait ends with an event, or fails at a timeout. */
 final class PeerNetworkTest {
 
   private static final int LOWEST_PORT = 21_000;
@@ -75,9 +75,8 @@
 
   @Test
   void listenersAreNotifiedWhenTheLastConnectionToAnIncarnationCloses() throws Exception {
-    // A user waits seconds longer for a token: the owner of a shard died, its sockets closed at
-    // once, and its requests moved only when the failure detector had noticed.
-    // Cause: nobody took the closed connection for the sign that it is.
+    // Guards against requests that wait for the failure detector after the owner of their shard has
+    // failed and its connections have closed.
     Daemon one = daemon("one", 1, "key");
     Daemon two = daemon("two", 1, "key");
     CompletableFuture<DaemonId> lost = new CompletableFuture<>();
@@ -127,9 +126,8 @@
 
   @Test
   void anOlderIncarnationIsRefusedAfterItsSuccessorHasConnected() throws Exception {
-    // A user sees an upstream drained by a daemon that was replaced minutes ago.
-    // The host's daemon pauses, its successor starts and is known, the old one wakes and speaks.
-    // Cause: a connection proves the key but not that the run is the newest.
+    // Guards against a paused daemon that resumes after its successor has connected: it holds the
+    // cluster key, but must not act for the host any more.
     Daemon one = daemon("one", 1, "key");
     Daemon predecessor = daemon("two", 5, "key");
     predecessor.network.send(one.id, new PingMessage(1, List.of()));
@@ -139,7 +137,7 @@
     assertThat(one.next().from()).isEqualTo(successor.id);
     predecessor.awaitCount("marjoramsail.peer.refusals", "reason", "old-incarnation");
     double refusals = predecessor.count("marjoramsail.peer.refusals", "reason", "old-incarnation");
-    // A message given to the connection that is being closed is lost, so it is sent until refused.
+    // A message written to a closing connection is lost, so messages are sent until one is refused.
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
     while (predecessor.count("marjoramsail.peer.refusals", "reason", "old-incarnation")
         <= refusals) {
@@ -202,15 +200,15 @@
   }
 
   /**
-   * A free port below those from which the system gives outgoing connections theirs: a connection
-   * of any process may else take the port between the two lives of a daemon.
+   * Returns a free port below the ephemeral range, so that no outgoing connection of any process
+   * can take it while the daemon restarts.
    */
   private static int portBelowEphemeralRange() throws IOException {
     for (int port = LOWEST_PORT; port < LOWEST_EPHEMERAL_PORT; port++) {
       try (ServerSocket free = new ServerSocket(port)) {
         return free.getLocalPort();
       } catch (BindException portInUse) {
-        // The next one may be free.
+        // Try the next port.
       }
     }
     throw new IOException("No port is free.");
@@ -310,7 +308,7 @@
     }
   }
 
-  /** Speaks the protocol by hand. */
+  /** Connection on which a test sends and receives frames without a {@link PeerNetwork}. */
   private final class RawConnection {
     private final PeerCodec codec = new PeerCodec(1 << 20);
     private final BlockingQueue<Object> received = new LinkedBlockingQueue<>();
