--- a/daemon/src/main/java/org/marjoramsail/daemon/membership/MembershipMeasurement.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/membership/MembershipMeasurement.java
@@ -34,8 +34,8 @@
   private static final long STEP_MILLIS = 50;
   private static final long DETECTION_LIMIT_MILLIS = 30_000;
   private static final int RESTARTS = 10;
-  private static final int TWO_REGIONS_FROM = 50;
-  private static final int ZONES = 5;
+  private static final int MINIMUM_DAEMONS_FOR_TWO_REGIONS = 50;
+  private static final int AVAILABILITY_ZONES = 5;
   private static final double MILLIS_PER_SECOND = 1_000;
   private static final double NANOS_PER_MILLI = 1_000_000;
 
@@ -94,7 +94,7 @@
 
   private final MembershipSettings settings;
   private final long seed;
-  private final int deaths;
+  private final int failures;
   private final PeerCodec codec = new PeerCodec(MAXIMUM_BYTES);
   private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
 
@@ -105,12 +105,12 @@
    * Creates an instance with what to measure.
    *
    * @param seed the same seed gives the same bytes and detection times
-   * @param deaths how many deaths are tried for each size
+   * @param failures how many deaths are tried for each size
    */
-  public MembershipMeasurement(MembershipSettings settings, long seed, int deaths) {
+  public MembershipMeasurement(MembershipSettings settings, long seed, int failures) {
     this.settings = settings;
     this.seed = seed;
-    this.deaths = deaths;
+    this.failures = failures;
   }
 
   /** Measures fleets of these sizes, one after the other. */
@@ -135,20 +135,22 @@
   private VirtualFleet fleet(int daemons) {
     VirtualFleet fleet = new VirtualFleet(settings, new SplittableRandom(seed), this::count);
     for (int number = 0; number < daemons; number++) {
-      int zone = number % ZONES;
-      boolean second = daemons >= TWO_REGIONS_FROM && zone >= ZONES / 2 + 1;
-      fleet.start(host(number), "availability-zone-" + zone, second ? "region-b" : "region-a");
+      int zone = number % AVAILABILITY_ZONES;
+      boolean isSecondRegion =
+          daemons >= MINIMUM_DAEMONS_FOR_TWO_REGIONS && zone >= AVAILABILITY_ZONES / 2 + 1;
+      fleet.start(
+          host(number), "availability-zone-" + zone, isSecondRegion ? "region-b" : "region-a");
     }
     return fleet;
   }
 
   private static void churn(VirtualFleet fleet) {
     fleet.kill(host(2));
-    long partMillis = PERIOD_MILLIS / RESTARTS;
+    long restartIntervalMillis = PERIOD_MILLIS / RESTARTS;
     int others = fleet.running().size() - 2;
     for (int restart = 0; restart < RESTARTS; restart++) {
       fleet.restart(host(3 + restart % (others - 1)));
-      fleet.run(partMillis);
+      fleet.run(restartIntervalMillis);
     }
     fleet.restart(host(2));
   }
@@ -156,11 +158,11 @@
   private Detection detection(VirtualFleet fleet, int daemons) {
     fleet.run(SETTLE_MILLIS);
     List<Long> times = new ArrayList<>();
-    for (int death = 0; death < deaths; death++) {
-      String victim = host(2 + death % (daemons - 2));
-      fleet.run(settings.probePeriodMillis() * 40 + 37L * death);
-      times.addAll(timesToKnow(fleet, victim));
-      fleet.restart(victim);
+    for (int failure = 0; failure < failures; failure++) {
+      String failedHost = host(2 + failure % (daemons - 2));
+      fleet.run(settings.probePeriodMillis() * 40 + 37L * failure);
+      times.addAll(detectionTimes(fleet, failedHost));
+      fleet.restart(failedHost);
     }
     Collections.sort(times);
     return new Detection(
@@ -169,33 +171,33 @@
         times.get(times.size() - 1));
   }
 
-  private static List<Long> timesToKnow(VirtualFleet fleet, String victim) {
+  private static List<Long> detectionTimes(VirtualFleet fleet, String failedHost) {
     List<Long> times = new ArrayList<>();
-    fleet.kill(victim);
-    Set<String> unaware = new HashSet<>();
-    fleet.running().forEach(daemon -> unaware.add(daemon.host()));
-    long passed = 0;
-    while (!unaware.isEmpty() && passed < DETECTION_LIMIT_MILLIS) {
+    fleet.kill(failedHost);
+    Set<String> pendingObservers = new HashSet<>();
+    fleet.running().forEach(daemon -> pendingObservers.add(daemon.host()));
+    long elapsedMillis = 0;
+    while (!pendingObservers.isEmpty() && elapsedMillis < DETECTION_LIMIT_MILLIS) {
       fleet.run(STEP_MILLIS);
-      passed += STEP_MILLIS;
-      for (String viewer : List.copyOf(unaware)) {
-        if (fleet.observedState(viewer, victim).equals(Optional.of(MemberState.DEAD))) {
-          unaware.remove(viewer);
-          times.add(passed);
+      elapsedMillis += STEP_MILLIS;
+      for (String observer : List.copyOf(pendingObservers)) {
+        if (fleet.observedState(observer, failedHost).equals(Optional.of(MemberState.DEAD))) {
+          pendingObservers.remove(observer);
+          times.add(elapsedMillis);
         }
       }
     }
-    for (int never = 0; never < unaware.size(); never++) {
+    for (int observer = 0; observer < pendingObservers.size(); observer++) {
       times.add(DETECTION_LIMIT_MILLIS);
     }
     return times;
   }
 
-  private Cost cost(int daemons, Runnable minute) {
+  private Cost cost(int daemons, Runnable workload) {
     bytes = 0;
     messages = 0;
     long before = threads.getCurrentThreadCpuTime();
-    minute.run();
+    workload.run();
     double processorMillis = (threads.getCurrentThreadCpuTime() - before) / NANOS_PER_MILLI;
     double seconds = PERIOD_MILLIS / MILLIS_PER_SECOND;
     return new Cost(
--- a/daemon/src/main/java/org/marjoramsail/daemon/membership/MembershipService.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/membership/MembershipService.java
@@ -48,9 +48,9 @@
   private static final Logger LOGGER = LoggerFactory.getLogger(MembershipService.class);
 
   /** How long the last words are given to leave the socket, in milliseconds. */
-  private static final long FAREWELL_MILLIS = 200;
+  private static final long STOP_FLUSH_MILLIS = 200;
 
-  private static final List<Class<? extends PeerMessage>> MESSAGES =
+  private static final List<Class<? extends PeerMessage>> MESSAGE_CLASSES =
       List.of(
           PingMessage.class,
           AckMessage.class,
@@ -71,9 +71,9 @@
 
   private final Object lock = new Object();
   private Optional<MembershipProtocol> protocol = Optional.empty();
-  private boolean superseded;
+  private boolean successorLogged;
   private volatile MembershipView view;
-  private final AdaptiveTimer ticks;
+  private final AdaptiveTimer tickTimer;
 
   /**
    * Creates an instance with all that it works with; nothing happens before {@link #start}.
@@ -101,8 +101,8 @@
     this.seeds = List.copyOf(seeds);
     this.clock = clock;
     this.random = random;
-    this.view = alone(peerSettings);
-    this.ticks = new AdaptiveTimer(vertx, this::pauseMillis, this::tick);
+    this.view = initialView(peerSettings);
+    this.tickTimer = new AdaptiveTimer(vertx, this::pauseMillis, this::tick);
     MembershipMeters.register(registry, this::view, this::statistics);
   }
 
@@ -141,10 +141,10 @@
                   settings, self(network.listening()), seeds, random, clock.millis()));
       view = protocol.get().view();
     }
-    for (Class<? extends PeerMessage> message : MESSAGES) {
+    for (Class<? extends PeerMessage> message : MESSAGE_CLASSES) {
       network.register(message, this::receive);
     }
-    ticks.start();
+    tickTimer.start();
   }
 
   /** Handles the platform's lagging list of daemons, which is only a hint where to look. */
@@ -163,13 +163,13 @@
 
   /** Tells that this daemon is gone, and ends the pings; done when that was sent. */
   public Future<Void> stop() {
-    ticks.stop();
+    tickTimer.stop();
     synchronized (lock) {
       protocol.ifPresent(running -> perform(running.markLeft(clock.millis())));
       protocol = Optional.empty();
     }
     Promise<Void> sent = Promise.promise();
-    vertx.setTimer(FAREWELL_MILLIS, id -> sent.complete());
+    vertx.setTimer(STOP_FLUSH_MILLIS, id -> sent.complete());
     return sent.future();
   }
 
@@ -190,16 +190,16 @@
   private void receive(DaemonId from, PeerMessage message) {
     synchronized (lock) {
       protocol.ifPresent(running -> perform(running.receive(from, message, clock.millis())));
-      noteSuccessor();
+      logSuccessor();
     }
     // A suspicion that was heard of is followed in short steps.
-    ticks.wake();
+    tickTimer.wake();
   }
 
-  private void noteSuccessor() {
+  private void logSuccessor() {
     Optional<DaemonId> successor = protocol.flatMap(MembershipProtocol::successor);
-    if (successor.isPresent() && !superseded) {
-      superseded = true;
+    if (successor.isPresent() && !successorLogged) {
+      successorLogged = true;
       LOGGER
           .atWarn()
           .addKeyValue("daemon", peerSettings.self())
@@ -224,7 +224,7 @@
     logChanges(view, newView);
     view = newView;
     directory.update(newView);
-    context.runOnContext(nothing -> listeners.forEach(listener -> listener.accept(newView)));
+    context.runOnContext(unused -> listeners.forEach(listener -> listener.accept(newView)));
   }
 
   private static void logChanges(MembershipView before, MembershipView after) {
@@ -257,7 +257,7 @@
         peerSettings.milliCores());
   }
 
-  private static MembershipView alone(PeerSettings settings) {
+  private static MembershipView initialView(PeerSettings settings) {
     Member self =
         new Member(
             settings.self(),
--- a/daemon/src/test/java/org/marjoramsail/daemon/membership/MembershipServiceTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/membership/MembershipServiceTest.java
@@ -31,7 +31,7 @@
 
 final class MembershipServiceTest {
 
-  private static final long HANG_SECONDS = 30;
+  private static final long TIMEOUT_SECONDS = 30;
   private static final Clock CLOCK = () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
 
   private Vertx vertx;
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void daemonsOnRealSocketsFindEachOtherAndSeeALeaveAndADeath() throws Exception {
+  void daemonsDiscoverEachOtherAndDetectALeaveAndAFailureOverSockets() throws Exception {
     Daemon one = new Daemon("one", List.of());
     List<PeerAddress> seeds = List.of(one.network.listening());
     Daemon two = new Daemon("two", seeds);
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void theMeasurementOfASeedIsRepeatable() {
+  void measurementsWithTheSameSeedAreEqual() {
     Row first = measure();
     Row second = measure();
     assertThat(first.detection()).isEqualTo(second.detection());
@@ -99,7 +99,7 @@
   }
 
   private static <T> T await(Future<T> future) throws Exception {
-    return future.toCompletionStage().toCompletableFuture().get(HANG_SECONDS, TimeUnit.SECONDS);
+    return future.toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   private final class Daemon {
@@ -137,16 +137,16 @@
       membership.start();
     }
 
-    void awaitView(Predicate<MembershipView> wanted) throws Exception {
-      CompletableFuture<Void> seen = new CompletableFuture<>();
+    void awaitView(Predicate<MembershipView> condition) throws Exception {
+      CompletableFuture<Void> satisfied = new CompletableFuture<>();
       membership.listen(
           view -> {
-            if (wanted.test(view)) {
-              seen.complete(null);
+            if (condition.test(view)) {
+              satisfied.complete(null);
             }
           });
-      if (!wanted.test(membership.view())) {
-        seen.get(HANG_SECONDS, TimeUnit.SECONDS);
+      if (!condition.test(membership.view())) {
+        satisfied.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       }
     }
   }
