--- a/daemon/src/main/java/org/marjoramsail/daemon/metrics/RequestMetrics.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/metrics/RequestMetrics.java
@@ -32,14 +32,14 @@
   private final Map<RunState, Map<RefusalReason, Counter>> refused = new EnumMap<>(RunState.class);
   private final Map<RetryReason, Counter> retries;
   private final Map<DropReason, Counter> drops;
-  private final Map<Lateness, Counter> late;
+  private final Map<Lateness, Counter> latencyViolations;
   private final Counter accepted;
   private final Counter completed;
   private final Counter withinTargets;
   private final Counter tokens;
   private final Timer firstToken;
   private final Timer betweenTokens;
-  private final Timer plainAnswer;
+  private final Timer plainResponse;
   private final MeterRegistry registry;
 
   /**
@@ -55,22 +55,22 @@
     }
     this.retries = perReason(registry, RetryReason.class, "retries", RetryReason::code);
     this.drops = perReason(registry, DropReason.class, "drops", DropReason::code);
-    this.late = perReason(registry, Lateness.class, "requests.late", Lateness::code);
+    this.latencyViolations = perReason(registry, Lateness.class, "requests.late", Lateness::code);
     this.accepted = registry.counter(PREFIX + "requests.accepted");
     this.completed = registry.counter(PREFIX + "requests.completed");
     this.withinTargets = registry.counter(PREFIX + "requests.within.targets");
     this.tokens = registry.counter(PREFIX + "tokens");
     this.firstToken = timer(registry, "first.token");
     this.betweenTokens = timer(registry, "between.tokens");
-    this.plainAnswer = timer(registry, "plain.answer");
-    for (Invariant one : Invariant.values()) {
+    this.plainResponse = timer(registry, "plain.answer");
+    for (Invariant invariant : Invariant.values()) {
       registry
           .more()
           .counter(
               PREFIX + "invariant.violations",
-              Tags.of("invariant", one.code()),
+              Tags.of("invariant", invariant.code()),
               invariants,
-              counted -> counted.violations(one));
+              current -> current.violations(invariant));
     }
   }
 
@@ -101,13 +101,13 @@
   }
 
   /** Shows how many retries of one service may be made now. */
-  public void showRetryBudget(String service, RetryBudget budget) {
+  public void registerRetryBudget(String service, RetryBudget budget) {
     registry.gauge(
         PREFIX + "retry.budget.left", Tags.of("service", service), budget, RetryBudget::available);
   }
 
   /** Shows how many requests run. */
-  public void showRunning(IntSupplier running) {
+  public void registerRunning(IntSupplier running) {
     registry.gauge(PREFIX + "requests.running", running, IntSupplier::getAsInt);
   }
 
@@ -129,8 +129,8 @@
   }
 
   /** Counts an answer that was late. */
-  public void late(Lateness cause) {
-    late.get(cause).increment();
+  public void latencyViolated(Lateness cause) {
+    latencyViolations.get(cause).increment();
   }
 
   /** Counts a refusal. */
@@ -174,13 +174,13 @@
   }
 
   /** Records how long after the one before a token came. */
-  public void laterToken(long millis) {
+  public void subsequentToken(long millis) {
     tokens.increment();
     betweenTokens.record(millis, TimeUnit.MILLISECONDS);
   }
 
   /** Records how long the answer of a plain service took. */
-  public void plainAnswer(long millis) {
-    plainAnswer.record(millis, TimeUnit.MILLISECONDS);
+  public void plainResponse(long millis) {
+    plainResponse.record(millis, TimeUnit.MILLISECONDS);
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestMeter.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestMeter.java
@@ -32,7 +32,7 @@
       firstTokenAtMillis = nowMillis;
       metrics.firstToken(nowMillis - profile.receivedAtMillis());
     } else {
-      metrics.laterToken(nowMillis - lastTokenAtMillis);
+      metrics.subsequentToken(nowMillis - lastTokenAtMillis);
     }
     lastTokenAtMillis = nowMillis;
     tokens++;
@@ -44,7 +44,7 @@
 
   void plainResponseReceived() {
     long nowMillis = clock.millis();
-    metrics.plainAnswer(nowMillis - profile.receivedAtMillis());
+    metrics.plainResponse(nowMillis - profile.receivedAtMillis());
     metrics.completed(nowMillis <= profile.firstTokenAtMillis());
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
@@ -72,7 +72,7 @@
     this.timers = timers;
     this.random = random;
     this.shards = IntStream.range(0, SHARDS).mapToObj(unused -> new Shard()).toList();
-    metrics.showRunning(this::size);
+    metrics.registerRunning(this::size);
   }
 
   /** Takes in a request; its answer goes to its sink. */
@@ -115,7 +115,7 @@
 
   private RetryBudget newBudget(String service) {
     RetryBudget budget = rules.budgets().get();
-    metrics.showRetryBudget(service, budget);
+    metrics.registerRetryBudget(service, budget);
     return budget;
   }
 
@@ -134,7 +134,7 @@
       shard.ended.addLast(view);
     }
     Optional<Lateness> lateness = request.timeliness().latenessOf(view);
-    lateness.ifPresent(metrics::late);
+    lateness.ifPresent(metrics::latencyViolated);
     log.ended(view, lateness);
   }
 
