--- a/daemon/src/main/java/org/marjoramsail/daemon/membership/MembershipMeasurement.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/membership/MembershipMeasurement.java
@@ -18,12 +18,11 @@
 import org.marjoramsail.daemon.peer.PeerCodecException;
 
 /**
- * Measures what membership costs one daemon in fleets of several sizes.
+ * Measures the cost of membership for one daemon, in fleets of several sizes.
  *
- * <p>Failure detectors of all daemons run on one virtual clock in one thread. Each message is
- * encoded and decoded by the real codec. Included: the detector, the codec, frame lengths, and the
- * work of the virtual network, which a daemon does not have. Not included: sockets, system calls,
- * the TCP and IP headers, handshakes and the buffers of connections.
+ * <p>The failure detectors of all daemons run on a virtual clock in one thread; each message is
+ * encoded and decoded. The cost includes the detector, the codec, frame lengths and the work of the
+ * simulated network. It excludes sockets, system calls, TCP and IP headers, handshakes and buffers.
  */
 public final class MembershipMeasurement {
 
@@ -40,55 +39,55 @@
   private static final double NANOS_PER_MILLI = 1_000_000;
 
   /**
-   * What one daemon spends, on average.
+   * Average cost for one daemon.
    *
-   * @param sentBytesPerSecond bytes of frames that it sends a second; it receives as many
-   * @param sentMessagesPerSecond messages that it sends a second; it receives as many
+   * @param sentBytesPerSecond bytes of frames sent per second; as many are received
+   * @param sentMessagesPerSecond messages sent per second; as many are received
    * @param processorPercent processor time, in percent of one core
    */
   public record Cost(
       double sentBytesPerSecond, double sentMessagesPerSecond, double processorPercent) {}
 
   /**
-   * The time from a death to its being known.
+   * Distribution of the time from a failure until the other daemons have detected it.
    *
-   * @param medianMillis until the median daemon knew, in milliseconds
-   * @param percentile99Millis until 99 of 100 daemons knew
-   * @param longestMillis until the last daemon knew
+   * @param medianMillis the median over all daemons, in milliseconds
+   * @param percentile99Millis the 99th percentile, in milliseconds
+   * @param longestMillis the maximum, in milliseconds
    */
   public record Detection(long medianMillis, long percentile99Millis, long longestMillis) {}
 
   /**
-   * The measurement of one size.
+   * Measurement of one fleet size.
    *
-   * @param daemons the size of the fleet
-   * @param steady without any change
-   * @param churning with a death and ten restarts in a minute
-   * @param stateBytes memory of one daemon's detector, in bytes, about
-   * @param detection over all daemons and all deaths that were tried
+   * @param daemons the number of daemons
+   * @param steady the cost while no daemon fails or restarts
+   * @param churning the cost with a failure and ten restarts in a minute
+   * @param stateBytes the approximate memory of one daemon's detector, in bytes
+   * @param detection the detection times over all daemons and simulated failures
    */
   public record Row(
       int daemons, Cost steady, Cost churning, long stateBytes, Detection detection) {}
 
   /**
-   * A straight line through the points of a measure.
+   * Linear fit of a measure over the fleet size.
    *
-   * @param base the measure of an empty fleet
-   * @param perDaemon what each daemon adds
+   * @param base the intercept
+   * @param perDaemon the slope
    */
   public record Line(double base, double perDaemon) {
 
-    /** The measure at a size. */
+    /** Returns the fitted measure of a fleet size. */
     public double at(int daemons) {
       return base + perDaemon * daemons;
     }
   }
 
   /**
-   * All sizes, and how bytes in a churning fleet grow with the size.
+   * Measurements of all fleet sizes.
    *
-   * @param rows one for each size
-   * @param churningBytes least squares over the rows
+   * @param rows one measurement for each size
+   * @param churningBytes the least-squares fit of the bytes sent per second with failures
    */
   public record Report(List<Row> rows, Line churningBytes) {}
 
@@ -102,10 +101,10 @@
   private long messages;
 
   /**
-   * Creates an instance with what to measure.
+   * Creates an instance.
    *
-   * @param seed the same seed gives the same bytes and detection times
-   * @param failures how many deaths are tried for each size
+   * @param seed the random seed; determines the bytes and detection times
+   * @param failures the number of simulated failures for each size
    */
   public MembershipMeasurement(MembershipSettings settings, long seed, int failures) {
     this.settings = settings;
@@ -113,7 +112,7 @@
     this.failures = failures;
   }
 
-  /** Measures fleets of these sizes, one after the other. */
+  /** Measures fleets of the given sizes in sequence. */
   public Report measure(List<Integer> sizes) {
     List<Row> rows = new ArrayList<>();
     for (int daemons : sizes) {
@@ -213,7 +212,7 @@
       bytes += LENGTH_BYTES + body.length;
       messages++;
     } catch (PeerCodecException e) {
-      throw new IllegalStateException("A message of " + from + " has no bytes.", e);
+      throw new IllegalStateException("A message of " + from + " cannot be encoded or decoded.", e);
     }
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/membership/MembershipMeters.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/membership/MembershipMeters.java
@@ -10,7 +10,7 @@
 import org.marjoramsail.core.membership.MembershipStatistics;
 import org.marjoramsail.core.membership.MembershipView;
 
-/** The meters of membership. */
+/** Metrics of the membership view and the failure detector. */
 final class MembershipMeters {
 
   private static final String PREFIX = "marjoramsail.membership.";
--- a/daemon/src/main/java/org/marjoramsail/daemon/membership/MembershipService.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/membership/MembershipService.java
@@ -38,16 +38,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which daemons run, kept up to date by timers and messages.
+ * Maintains the membership view: drives the failure detector by timers and messages.
  *
- * <p>The detector is called under one lock. Listeners are called one after the other on an event
- * loop, outside of that lock; reading the view takes no lock.
+ * <p>The detector is called under one lock. Listeners are called in sequence on an event loop,
+ * outside of that lock; reading the view takes no lock.
  */
 public final class MembershipService {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(MembershipService.class);
 
-  /** How long the last words are given to leave the socket, in milliseconds. */
+  /** Time allowed for the last messages to be written before a stop completes. */
   private static final long STOP_FLUSH_MILLIS = 200;
 
   private static final List<Class<? extends PeerMessage>> MESSAGE_CLASSES =
@@ -76,11 +76,11 @@
   private final AdaptiveTimer tickTimer;
 
   /**
-   * Creates an instance with all that it works with; nothing happens before {@link #start}.
+   * Creates an instance, which sends nothing before {@link #start}.
    *
-   * @param network the connections; started before this and stopped after it
-   * @param directory the one that {@code network} reads
-   * @param seeds where other daemons may listen; entries that are stale or this daemon do no harm
+   * @param network the connections to peers; started before this service and stopped after it
+   * @param directory the directory from which {@code network} reads addresses
+   * @param seeds addresses of possible peers; may contain stale addresses and the own one
    */
   public MembershipService(
       Vertx vertx,
@@ -106,17 +106,17 @@
     MembershipMeters.register(registry, this::view, this::statistics);
   }
 
-  /** What is believed now; only this daemon before the start. */
+  /** Returns the current view, which has this daemon alone before the start. */
   public MembershipView view() {
     return view;
   }
 
-  /** Calls a listener with each new view, in order, from now on. */
+  /** Registers a listener, which is called with each new view in order. */
   public void listen(Consumer<MembershipView> listener) {
     listeners.add(listener);
   }
 
-  /** What the detector has counted. */
+  /** Returns the counters of the failure detector. */
   public MembershipStatistics statistics() {
     synchronized (lock) {
       return protocol
@@ -125,14 +125,14 @@
     }
   }
 
-  /** A later run on the own host name, if one was heard of; then this one should stop. */
+  /** Returns a later incarnation on the own host, if one is known; this one should stop then. */
   public Optional<DaemonId> successor() {
     synchronized (lock) {
       return protocol.flatMap(MembershipProtocol::successor);
     }
   }
 
-  /** Begins to ping; the network must be listening. */
+  /** Starts the failure detector; the network must be listening. */
   public void start() {
     synchronized (lock) {
       protocol =
@@ -147,21 +147,21 @@
     tickTimer.start();
   }
 
-  /** Handles the platform's lagging list of daemons, which is only a hint where to look. */
+  /** Sets the addresses of the platform's host list, which may lag; they are used like seeds. */
   public void hostList(List<PeerAddress> addresses) {
     synchronized (lock) {
       protocol.ifPresent(running -> running.hostList(addresses));
     }
   }
 
-  /** Tells that this daemon takes over nothing any more; it goes on answering. */
+  /** Announces that this daemon is leaving and takes no new work; it still responds to pings. */
   public void leave() {
     synchronized (lock) {
       protocol.ifPresent(running -> perform(running.leave(clock.millis())));
     }
   }
 
-  /** Tells that this daemon is gone, and ends the pings; done when that was sent. */
+  /** Announces that this daemon has left, and stops; completes after the time to send that. */
   public Future<Void> stop() {
     tickTimer.stop();
     synchronized (lock) {
@@ -192,7 +192,7 @@
       protocol.ifPresent(running -> perform(running.receive(from, message, clock.millis())));
       logSuccessor();
     }
-    // A suspicion that was heard of is followed in short steps.
+    // The message may have brought a suspicion, whose timeouts require shorter pauses.
     tickTimer.wake();
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/membership/PeerDirectory.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/membership/PeerDirectory.java
@@ -10,8 +10,10 @@
 import org.marjoramsail.core.model.DaemonId;
 
 /**
- * Where each run of a daemon listens. It stands between membership, which keeps it up to date, and
- * the network, which needs addresses before membership can send. Safe for use by several threads.
+ * Directory of the addresses of all known incarnations of daemons.
+ *
+ * <p>Membership updates it and the network reads it, which breaks the cycle between the two. Safe
+ * for use by several threads.
  */
 public final class PeerDirectory implements Function<DaemonId, Optional<PeerAddress>> {
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/membership/package-info.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Runs the failure detector of the core on timers and on the connections to other daemons. */
+/** Runs the failure detector of the core with timers and the connections to other daemons. */
 package org.marjoramsail.daemon.membership;
