--- a/daemon/src/main/java/org/marjoramsail/daemon/metrics/RequestMetrics.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/metrics/RequestMetrics.java
@@ -21,9 +21,10 @@
 import org.marjoramsail.daemon.request.Lateness;
 
 /**
- * What is counted of requests.
+ * Metrics of requests.
  *
- * <p>All counters of enums exist from the start, so that a rate over them is never missing.
+ * <p>The counters of all reasons are registered at the start, so that their rates are defined
+ * before the first event.
  */
 public final class RequestMetrics {
 
@@ -43,10 +44,10 @@
   private final MeterRegistry registry;
 
   /**
-   * Registers all meters.
+   * Registers all counters and timers.
    *
-   * @param registry where to
-   * @param invariants whose violations are shown
+   * @param registry the registry of the meters
+   * @param invariants the source of the violation counters
    */
   public RequestMetrics(MeterRegistry registry, Invariants invariants) {
     this.registry = registry;
@@ -100,26 +101,26 @@
     return Timer.builder(PREFIX + name).publishPercentileHistogram().register(registry);
   }
 
-  /** Shows how many retries of one service may be made now. */
+  /** Registers a gauge of the retries that are available to a service. */
   public void registerRetryBudget(String service, RetryBudget budget) {
     registry.gauge(
         PREFIX + "retry.budget.left", Tags.of("service", service), budget, RetryBudget::available);
   }
 
-  /** Shows how many requests run. */
+  /** Registers a gauge of the running requests. */
   public void registerRunning(IntSupplier running) {
     registry.gauge(PREFIX + "requests.running", running, IntSupplier::getAsInt);
   }
 
-  /** Counts a request that was taken in. */
+  /** Counts an accepted request. */
   public void accepted() {
     accepted.increment();
   }
 
   /**
-   * Counts a request whose answer is whole.
+   * Counts a request with a complete response.
    *
-   * @param isWithinTargets whether it met its rule's latency targets
+   * @param isWithinTargets true if the request met the latency targets of its rule
    */
   public void completed(boolean isWithinTargets) {
     completed.increment();
@@ -128,17 +129,17 @@
     }
   }
 
-  /** Counts an answer that was late. */
+  /** Counts a request that violated its latency targets. */
   public void latencyViolated(Lateness cause) {
     latencyViolations.get(cause).increment();
   }
 
-  /** Counts a refusal. */
+  /** Counts a refused request. */
   public void refused(Refusal refusal) {
     refused.get(refusal.runState()).get(refusal.reason()).increment();
   }
 
-  /** How many requests were refused, by reason, whether they ran or not. */
+  /** Returns the number of refused requests by reason, over all run states. */
   public Map<RefusalReason, Long> refusals() {
     Map<RefusalReason, Long> counts = new EnumMap<>(RefusalReason.class);
     refused
@@ -150,7 +151,7 @@
     return counts;
   }
 
-  /** How many attempts were repeated, by reason. */
+  /** Returns the number of retries by reason. */
   public Map<RetryReason, Long> retries() {
     Map<RetryReason, Long> counts = new EnumMap<>(RetryReason.class);
     retries.forEach((reason, counter) -> counts.put(reason, (long) counter.count()));
@@ -162,24 +163,24 @@
     retries.get(reason).increment();
   }
 
-  /** Counts something that came from outside and was dropped. */
+  /** Counts a dropped event or cancel. */
   public void dropped(DropReason reason) {
     drops.get(reason).increment();
   }
 
-  /** Records how long a first token took. */
+  /** Records the time from the receipt of a request to its first token. */
   public void firstToken(long millis) {
     tokens.increment();
     firstToken.record(millis, TimeUnit.MILLISECONDS);
   }
 
-  /** Records how long after the one before a token came. */
+  /** Records the time between a token and the previous one. */
   public void subsequentToken(long millis) {
     tokens.increment();
     betweenTokens.record(millis, TimeUnit.MILLISECONDS);
   }
 
-  /** Records how long the answer of a plain service took. */
+  /** Records the time from the receipt of a request to its response without streaming. */
   public void plainResponse(long millis) {
     plainResponse.record(millis, TimeUnit.MILLISECONDS);
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/metrics/package-info.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Counters and timers of requests: one counter for each refusal, retry and drop reason. */
+/** Metrics of requests, with a counter for each refusal, retry and drop reason. */
 package org.marjoramsail.daemon.metrics;
