--- a/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerMessageType.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/peer/PeerMessageType.java
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Returns whether queued messages of this type are sent before others, which guards against
-   * failure detection by mistake under load.
+   * Returns whether queued messages of this type are sent before others, which guards against false
+   * failure detections under load.
    */
   public boolean isUrgent() {
     return number <= LAST_MEMBERSHIP_NUMBER;
