--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
@@ -241,10 +241,10 @@
   }
 
   /** What the head of an answer that does not serve the request says of the attempt. */
-  private static UpstreamFailure failureOf(Verdict verdict) {
-    return switch (verdict) {
+  private static UpstreamFailure failureOf(ResponseDisposition disposition) {
+    return switch (disposition) {
       case FULL -> UpstreamFailure.FULL;
-      case GONE -> UpstreamFailure.REFUSED;
+      case MISDIRECTED -> UpstreamFailure.REFUSED;
       default -> UpstreamFailure.MALFORMED;
     };
   }
@@ -284,8 +284,8 @@
     }
 
     /** What another upstream says that has this address now is not said by the one meant. */
-    void hearStatement(Verdict verdict, int status, MultiMap headers) {
-      if (verdict != Verdict.GONE) {
+    void hearStatement(ResponseDisposition disposition, int status, MultiMap headers) {
+      if (disposition != ResponseDisposition.MISDIRECTED) {
         dependencies
             .feedback()
             .heard(upstream, dependencies.protocol().feedbackOf(status, headers));
@@ -311,7 +311,7 @@
   }
 
   private final class PrefillListener extends WholeListener {
-    private Verdict verdict = Verdict.UNPROVEN;
+    private ResponseDisposition disposition = ResponseDisposition.UNKNOWN;
 
     PrefillListener(
         LifecycleAction.SendPrefill send,
@@ -323,21 +323,24 @@
     @Override
     public boolean head(int status, MultiMap headers) {
       alive();
-      verdict = dependencies.protocol().verdictOf(status, headers, request.terms().attempt(), true);
-      if (verdict == Verdict.FOREIGN) {
+      disposition =
+          dependencies.protocol().dispositionOf(status, headers, request.terms().attempt(), true);
+      if (disposition == ResponseDisposition.INVALID) {
         failed(UpstreamFailure.MALFORMED);
         return false;
       }
-      hearStatement(verdict, status, headers);
+      hearStatement(disposition, status, headers);
       return true;
     }
 
     @Override
     public void end() {
       Optional<PrefilledPrompt> prefilled =
-          verdict == Verdict.SERVED ? dependencies.protocol().prefilled(body()) : Optional.empty();
+          disposition == ResponseDisposition.SERVED
+              ? dependencies.protocol().prefilled(body())
+              : Optional.empty();
       if (prefilled.isEmpty()) {
-        failed(failureOf(verdict));
+        failed(failureOf(disposition));
         return;
       }
       handles.put(
@@ -356,7 +359,7 @@
 
   private final class AnswerListener extends WholeListener {
     private Head head = new Head(0, MultiMap.caseInsensitiveMultiMap());
-    private Verdict verdict = Verdict.UNPROVEN;
+    private ResponseDisposition disposition = ResponseDisposition.UNKNOWN;
     private final EventSplitter events = new EventSplitter();
     private int lastIndex = -1;
 
@@ -367,13 +370,13 @@
     @Override
     public boolean head(int status, MultiMap headers) {
       alive();
-      verdict =
-          dependencies.protocol().verdictOf(status, headers, request.terms().attempt(), false);
-      if (verdict == Verdict.FOREIGN) {
+      disposition =
+          dependencies.protocol().dispositionOf(status, headers, request.terms().attempt(), false);
+      if (disposition == ResponseDisposition.INVALID) {
         failed(UpstreamFailure.MALFORMED);
         return false;
       }
-      hearStatement(verdict, status, headers);
+      hearStatement(disposition, status, headers);
       head = new Head(status, dependencies.protocol().returned(headers));
       return true;
     }
@@ -393,8 +396,9 @@
 
     @Override
     public void end() {
-      if (verdict == Verdict.FULL || verdict == Verdict.GONE) {
-        failed(failureOf(verdict));
+      if (disposition == ResponseDisposition.FULL
+          || disposition == ResponseDisposition.MISDIRECTED) {
+        failed(failureOf(disposition));
       } else if (isStream()) {
         endStream();
       } else {
@@ -403,7 +407,7 @@
     }
 
     private boolean isStream() {
-      return streaming && verdict == Verdict.SERVED;
+      return streaming && disposition == ResponseDisposition.SERVED;
     }
 
     private void event(EventSplitter.Event event) {
@@ -429,9 +433,9 @@
       if (!streaming) {
         dependencies.plainResponseTimes().accept(upstream().service(), tookMillis());
       }
-      if (verdict == Verdict.SERVED && !streaming) {
+      if (disposition == ResponseDisposition.SERVED && !streaming) {
         tell(new LifecycleEvent.PlainResponseReceived(attempt()));
-      } else if (verdict == Verdict.FAILED) {
+      } else if (disposition == ResponseDisposition.FAILED) {
         tell(new LifecycleEvent.FailureResponseReceived(attempt()));
       } else {
         failed(UpstreamFailure.MALFORMED);
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingProtocol.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingProtocol.java
@@ -29,7 +29,7 @@
    * @param attempt the try that it should answer
    * @param prefill whether only the reading of the prompt was asked for
    */
-  Verdict verdictOf(int status, MultiMap headers, String attempt, boolean prefill);
+  ResponseDisposition dispositionOf(int status, MultiMap headers, String attempt, boolean prefill);
 
   /** What an upstream says of itself in the head of an answer, whatever else that answers. */
   UpstreamFeedback feedbackOf(int status, MultiMap upstreamHeaders);
