--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/CallerTerms.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/CallerParameters.java
@@ -8,16 +8,16 @@
  * What a caller says of its request.
  *
  * @param attempt the caller's own identifier of this try; empty text when it gives none
- * @param withinMillis how long the caller will wait; absent when it does not say
+ * @param timeoutMillis how long the caller will wait; absent when it does not say
  * @param promptTokens length of its prompt; zero for a plain request
  * @param outputTokens how many tokens it generates at most; zero for a plain request
  * @param expectedTokens how many tokens the caller expects to be generated
  * @param resumeAfter the last event that the caller has of a broken stream; zero for none
  * @param key what proves of which organisation the caller is; empty when it shows none
  */
-public record CallerTerms(
+public record CallerParameters(
     String attempt,
-    OptionalLong withinMillis,
+    OptionalLong timeoutMillis,
     int promptTokens,
     int outputTokens,
     OptionalInt expectedTokens,
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
@@ -72,8 +72,8 @@
       LifecycleAction.SendDecode send, Consumer<LifecycleEvent> events) {
     Optional<UpstreamDefinition> target = target(send.upstream(), send.attempt(), events);
     int resumeAfter =
-        send.startIndex() > 0 || request.terms().resumeAfter() > 0
-            ? request.terms().resumeAfter() + send.startIndex()
+        send.startIndex() > 0 || request.parameters().resumeAfter() > 0
+            ? request.parameters().resumeAfter() + send.startIndex()
             : 0;
     return target.map(
         known ->
@@ -124,7 +124,7 @@
             headers,
             Buffer.buffer(),
             false,
-            request.terms(),
+            request.parameters(),
             request.organisation());
     ForwardCall unused =
         new ForwardCall(
@@ -177,7 +177,7 @@
     response.end();
     dependencies
         .completions()
-        .completed(profile, request.terms().outputTokens(), completion.outputTokens());
+        .completed(profile, request.parameters().outputTokens(), completion.outputTokens());
   }
 
   @Override
@@ -194,7 +194,7 @@
 
   @Override
   public void refuse(Refusal refusal) {
-    dependencies.refusals().write(caller, request.terms().attempt(), refusal);
+    dependencies.refusals().write(caller, request.parameters().attempt(), refusal);
   }
 
   private Optional<UpstreamDefinition> target(
@@ -324,7 +324,9 @@
     public boolean head(int status, MultiMap headers) {
       alive();
       disposition =
-          dependencies.protocol().dispositionOf(status, headers, request.terms().attempt(), true);
+          dependencies
+              .protocol()
+              .dispositionOf(status, headers, request.parameters().attempt(), true);
       if (disposition == ResponseDisposition.INVALID) {
         failed(UpstreamFailure.MALFORMED);
         return false;
@@ -371,7 +373,9 @@
     public boolean head(int status, MultiMap headers) {
       alive();
       disposition =
-          dependencies.protocol().dispositionOf(status, headers, request.terms().attempt(), false);
+          dependencies
+              .protocol()
+              .dispositionOf(status, headers, request.parameters().attempt(), false);
       if (disposition == ResponseDisposition.INVALID) {
         failed(UpstreamFailure.MALFORMED);
         return false;
@@ -414,7 +418,7 @@
       if (streamHead.isEmpty()) {
         streamHead = Optional.of(head);
       }
-      lastIndex = event.id() - request.terms().resumeAfter() - 1;
+      lastIndex = event.id() - request.parameters().resumeAfter() - 1;
       tell(new LifecycleEvent.TokenArrived(profile.id(), attempt(), lastIndex, event.text()));
     }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -150,10 +150,10 @@
     busy.add(request.connection());
     request.response().exceptionHandler(ignored -> {});
     request.response().endHandler(ended -> busy.remove(request.connection()));
-    CallerTerms terms = dependencies.protocol().termsOf(request.headers());
+    CallerParameters parameters = dependencies.protocol().parametersOf(request.headers());
     Optional<Refusal> refusal = refusalOf(request);
     if (refusal.isPresent()) {
-      reject(request, terms, refusal.get());
+      reject(request, parameters, refusal.get());
       return;
     }
     RoutingConfiguration routing = dependencies.routing().get().orElseThrow();
@@ -163,16 +163,16 @@
           Refusal.notRun(
               RefusalReason.UNKNOWN_SERVICE,
               "No route of host '" + hostOf(request) + "' begins the path " + request.path() + ".");
-      reject(request, terms, unknown);
+      reject(request, parameters, unknown);
       return;
     }
-    CallerAccess access = CallerAccess.of(routing, route.get(), terms.key());
+    CallerAccess access = CallerAccess.of(routing, route.get(), parameters.key());
     if (access.refusal().isPresent()) {
-      reject(request, terms, access.refusal().get());
+      reject(request, parameters, access.refusal().get());
       return;
     }
     Arrival arrival =
-        new Arrival(request, terms, route.get(), access.organisation(), receivedAtMillis);
+        new Arrival(request, parameters, route.get(), access.organisation(), receivedAtMillis);
     readBody(arrival, routing.limits());
   }
 
@@ -241,7 +241,7 @@
           if (body.length() > most) {
             request.handler(ignored -> {});
             request.endHandler(ignored -> {});
-            reject(request, arrival.terms(), tooLarge(body.length(), most));
+            reject(request, arrival.parameters(), tooLarge(body.length(), most));
           }
         });
     request.endHandler(ended -> register(arrival, body));
@@ -265,7 +265,7 @@
             dependencies.protocol().forwarded(request.headers()),
             body,
             hasBody,
-            arrival.terms(),
+            arrival.parameters(),
             arrival.organisation().map(OrganisationDefinition::name));
     RequestProfile profile = profileOf(forwarded, arrival);
     boolean streaming = route.streaming();
@@ -290,19 +290,19 @@
   }
 
   private RequestProfile profileOf(ForwardedRequest request, Arrival arrival) {
-    CallerTerms terms = arrival.terms();
+    CallerParameters parameters = arrival.parameters();
     Route route = arrival.route();
     long receivedAtMillis = arrival.receivedAtMillis();
-    boolean generation = route.streaming() && terms.promptTokens() > 0;
-    String service = route.serviceFor(Fingerprint.of(terms.attempt(), new byte[0]));
+    boolean generation = route.streaming() && parameters.promptTokens() > 0;
+    String service = route.serviceFor(Fingerprint.of(parameters.attempt(), new byte[0]));
     int outputTokens =
         generation
             ? dependencies
                 .forecast()
-                .expectedTokens(route.name(), terms.outputTokens(), terms.expectedTokens())
+                .expectedTokens(route.name(), parameters.outputTokens(), parameters.expectedTokens())
             : 0;
     return new RequestProfile(
-        new RequestId(terms.attempt() + "." + dependencies.daemon().host() + "." + sequence++),
+        new RequestId(parameters.attempt() + "." + dependencies.daemon().host() + "." + sequence++),
         dependencies.daemon(),
         service,
         request.organisation().orElse(route.host()),
@@ -311,24 +311,26 @@
         route.repeatability(),
         generation,
         false,
-        generation ? terms.promptTokens() : 0,
+        generation ? parameters.promptTokens() : 0,
         outputTokens,
         List.of(),
         fingerprint(service, request),
         receivedAtMillis,
         ForwardingRules.targetAtMillis(route, receivedAtMillis),
-        ForwardingRules.deadlineAtMillis(route, receivedAtMillis, terms.withinMillis()),
+        ForwardingRules.deadlineAtMillis(route, receivedAtMillis, parameters.timeoutMillis()),
         new StreamChunking(dependencies.tokensPerEvent().apply(service), route.gapTargetMillis()),
         arrival
             .organisation()
-            .map(holder -> holder.countedTokens(terms.promptTokens(), terms.outputTokens()))
+            .map(
+                holder ->
+                    holder.countedTokens(parameters.promptTokens(), parameters.outputTokens()))
             .orElse(0));
   }
 
   /** A request whose head was accepted. */
   private record Arrival(
       HttpServerRequest request,
-      CallerTerms terms,
+      CallerParameters parameters,
       Route route,
       Optional<OrganisationDefinition> organisation,
       long receivedAtMillis) {}
@@ -345,13 +347,13 @@
   }
 
   /** Refuses before the body is read; a connection with an unread body is not used again. */
-  private void reject(HttpServerRequest request, CallerTerms terms, Refusal refusal) {
+  private void reject(HttpServerRequest request, CallerParameters parameters, Refusal refusal) {
     dependencies.refused().accept(refusal);
     boolean unread = !request.isEnded() && mayHaveBody(request);
     if (unread) {
       request.response().putHeader("connection", "close");
     }
-    refusals.write(request, terms.attempt(), refusal);
+    refusals.write(request, parameters.attempt(), refusal);
   }
 
   private static boolean mayHaveBody(HttpServerRequest request) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardedRequest.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardedRequest.java
@@ -14,7 +14,7 @@
  * @param headers the headers that are passed on
  * @param body the whole body
  * @param hasBody whether the caller sent a body, be it empty
- * @param terms what the caller says of it
+ * @param parameters what the caller says of it
  * @param organisation whose request it is; empty where callers need no key
  */
 record ForwardedRequest(
@@ -24,5 +24,5 @@
     MultiMap headers,
     Buffer body,
     boolean hasBody,
-    CallerTerms terms,
+    CallerParameters parameters,
     Optional<String> organisation) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingProtocol.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingProtocol.java
@@ -12,7 +12,7 @@
 public interface ForwardingProtocol {
 
   /** What a caller says of its request; what it does not say, or says wrongly, is absent. */
-  CallerTerms termsOf(MultiMap callerHeaders);
+  CallerParameters parametersOf(MultiMap callerHeaders);
 
   /** The headers of a caller that upstreams get: not those of one connection or of this program. */
   MultiMap forwarded(MultiMap callerHeaders);
