--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
@@ -225,13 +225,13 @@
       ForwardCall.Listener listener) {
     MultiMap headers = MultiMap.caseInsensitiveMultiMap().addAll(request.headers());
     headers.set("host", request.host());
-    long leftMillis = Math.max(1, profile.deadlineAtMillis() - dependencies.clock().millis());
+    long remainingMillis = Math.max(1, profile.deadlineAtMillis() - dependencies.clock().millis());
     dependencies
         .protocol()
-        .tell(
+        .addParameters(
             headers,
-            new SendTerms(
-                target.name(), leftMillis, prefill, kv, resumeAfter, request.organisation()));
+            new ForwardParameters(
+                target.name(), remainingMillis, prefill, kv, resumeAfter, request.organisation()));
     return new ForwardCall(dependencies.connections(), dependencies.protocol(), target, listener)
         .start(request, headers);
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/SendTerms.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardParameters.java
@@ -8,15 +8,15 @@
  * What an upstream is told beside the caller's request.
  *
  * @param upstream the only upstream that may take it
- * @param leftMillis how long the answer is of use
+ * @param remainingMillis how long the answer is of use
  * @param prefill whether only the prompt is to be read
  * @param kv where the KV cache of the prompt is
  * @param resumeAfter the last event that the caller has; zero for none
  * @param organisation whose request it is; empty where that is not known
  */
-public record SendTerms(
+public record ForwardParameters(
     UpstreamName upstream,
-    long leftMillis,
+    long remainingMillis,
     boolean prefill,
     Optional<KvLocation> kv,
     int resumeAfter,
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingProtocol.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingProtocol.java
@@ -18,7 +18,7 @@
   MultiMap forwarded(MultiMap callerHeaders);
 
   /** Adds what this program tells an upstream. */
-  void tell(MultiMap headers, SendTerms terms);
+  void addParameters(MultiMap headers, ForwardParameters parameters);
 
   /** The headers of an upstream's answer that the caller gets. */
   MultiMap returned(MultiMap upstreamHeaders);
