--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardCall.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardCall.java
@@ -123,7 +123,7 @@
     HttpClientConnection used = connection.orElseThrow();
     used.closeHandler(null);
     String kept = response.headers().get("connection");
-    Optional<Long> idleMillis = protocol.keepsIdleMillis(response.headers());
+    Optional<Long> idleMillis = protocol.keepAliveMillis(response.headers());
     boolean framed =
         response.headers().contains("content-length")
             || response.headers().contains("transfer-encoding");
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
@@ -339,7 +339,7 @@
     public void end() {
       Optional<PrefilledPrompt> prefilled =
           disposition == ResponseDisposition.SERVED
-              ? dependencies.protocol().prefilled(body())
+              ? dependencies.protocol().prefilledPrompt(body())
               : Optional.empty();
       if (prefilled.isEmpty()) {
         failed(failureOf(disposition));
@@ -381,7 +381,7 @@
         return false;
       }
       hearStatement(disposition, status, headers);
-      head = new Head(status, dependencies.protocol().returned(headers));
+      head = new Head(status, dependencies.protocol().returnedHeaders(headers));
       return true;
     }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -262,7 +262,7 @@
             request.method(),
             request.uri(),
             hostOf(request),
-            dependencies.protocol().forwarded(request.headers()),
+            dependencies.protocol().forwardedHeaders(request.headers()),
             body,
             hasBody,
             arrival.parameters(),
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingProtocol.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingProtocol.java
@@ -15,13 +15,13 @@
   CallerParameters parametersOf(MultiMap callerHeaders);
 
   /** The headers of a caller that upstreams get: not those of one connection or of this program. */
-  MultiMap forwarded(MultiMap callerHeaders);
+  MultiMap forwardedHeaders(MultiMap callerHeaders);
 
   /** Adds what this program tells an upstream. */
   void addParameters(MultiMap headers, ForwardParameters parameters);
 
   /** The headers of an upstream's answer that the caller gets. */
-  MultiMap returned(MultiMap upstreamHeaders);
+  MultiMap returnedHeaders(MultiMap upstreamHeaders);
 
   /**
    * What an answer says, by its status and headers.
@@ -35,14 +35,14 @@
   UpstreamFeedback feedbackOf(int status, MultiMap upstreamHeaders);
 
   /** The handle of a KV cache, from the body of the answer to a prefill; empty if there is none. */
-  Optional<PrefilledPrompt> prefilled(Buffer body);
+  Optional<PrefilledPrompt> prefilledPrompt(Buffer body);
 
   /** The path at which the holder of a KV cache is told to drop it. */
   String handlePath(String handle);
 
   /** How long, in milliseconds, an upstream keeps an idle connection open; empty if unknown. */
-  Optional<Long> keepsIdleMillis(MultiMap headers);
+  Optional<Long> keepAliveMillis(MultiMap headers);
 
   /** Adds to an answer of this program which request it answers. */
-  void answering(MultiMap headers, String attempt);
+  void addAttempt(MultiMap headers, String attempt);
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/RefusalWriter.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/RefusalWriter.java
@@ -65,7 +65,7 @@
     if (status == NOT_RUN_STATUS || status == TOO_MANY_STATUS) {
       response.putHeader("retry-after", retryAfter(refusal));
     }
-    protocol.answering(response.headers(), attempt);
+    protocol.addAttempt(response.headers(), attempt);
     response.putHeader("content-type", "application/json");
     closing.mark(response);
     response.end(body(refusal));
