--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/Completions.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/CompletionListener.java
@@ -4,14 +4,14 @@
 
 /** Hears of streams that came to their end, to foretell how long others will be. */
 @FunctionalInterface
-public interface Completions {
+public interface CompletionListener {
 
   /**
    * A stream came to its end.
    *
    * @param profile the request
-   * @param mostTokens how many tokens it might have generated
-   * @param events how many events it had
+   * @param maximumTokens how many tokens it might have generated
+   * @param eventCount how many events it had
    */
-  void completed(RequestProfile profile, int mostTokens, int events);
+  void completed(RequestProfile profile, int maximumTokens, int eventCount);
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardDependencies.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardDependencies.java
@@ -16,7 +16,7 @@
  * @param handleMillis how long KV caches of a service live, in milliseconds
  * @param liveness hears signs of life
  * @param feedback hears what upstreams say of themselves
- * @param completions hears how long streams are
+ * @param completionListener hears how long streams are
  * @param plainResponseTimes hears how long plain answers of a service take, in milliseconds
  * @param closing marks answers while this daemon stops
  * @param refusals writes answers of this program
@@ -29,7 +29,7 @@
     Function<String, Long> handleMillis,
     LivenessListener liveness,
     UpstreamFeedbackRecorder feedback,
-    Completions completions,
+    CompletionListener completionListener,
     ObjLongConsumer<String> plainResponseTimes,
     ConnectionCloseHeader closing,
     RefusalWriter refusals,
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
@@ -176,7 +176,7 @@
     }
     response.end();
     dependencies
-        .completions()
+        .completionListener()
         .completed(profile, request.parameters().outputTokens(), completion.outputTokens());
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -81,7 +81,7 @@
             dependencies.handleMillis(),
             dependencies.liveness(),
             dependencies.feedback(),
-            this::learn,
+            this::recordOutputLength,
             plainResponseTimes::update,
             closing,
             refusals,
@@ -341,9 +341,9 @@
     return Fingerprint.of(service, whole.getBytes());
   }
 
-  private void learn(RequestProfile profile, int mostTokens, int events) {
-    int tokens = events * dependencies.tokensPerEvent().apply(profile.service());
-    dependencies.forecast().update(profile.rule(), mostTokens, tokens);
+  private void recordOutputLength(RequestProfile profile, int maximumTokens, int eventCount) {
+    int tokens = eventCount * dependencies.tokensPerEvent().apply(profile.service());
+    dependencies.forecast().update(profile.rule(), maximumTokens, tokens);
   }
 
   /** Refuses before the body is read; a connection with an unread body is not used again. */
