--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ConnectionCloseHeader.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ConnectionCloseHeader.java
@@ -12,7 +12,7 @@
     this.stopping = stopping;
   }
 
-  void mark(HttpServerResponse response) {
+  void addIfStopping(HttpServerResponse response) {
     if (stopping.getAsBoolean()) {
       response.putHeader("connection", "close");
     }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardDependencies.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardDependencies.java
@@ -13,12 +13,12 @@
  * @param protocol the names on the wire
  * @param connections the way to upstreams
  * @param upstreams finds upstreams by name
- * @param handleMillis how long KV caches of a service live, in milliseconds
+ * @param handleLifetimeMillis how long KV caches of a service live, in milliseconds
  * @param liveness hears signs of life
  * @param feedback hears what upstreams say of themselves
  * @param completionListener hears how long streams are
  * @param plainResponseTimes hears how long plain answers of a service take, in milliseconds
- * @param closing marks answers while this daemon stops
+ * @param connectionCloseHeader marks answers while this daemon stops
  * @param refusals writes answers of this program
  * @param clock tells the time
  */
@@ -26,11 +26,11 @@
     ForwardingProtocol protocol,
     UpstreamConnections connections,
     Function<UpstreamName, Optional<UpstreamDefinition>> upstreams,
-    Function<String, Long> handleMillis,
+    Function<String, Long> handleLifetimeMillis,
     LivenessListener liveness,
     UpstreamFeedbackRecorder feedback,
     CompletionListener completionListener,
     ObjLongConsumer<String> plainResponseTimes,
-    ConnectionCloseHeader closing,
+    ConnectionCloseHeader connectionCloseHeader,
     RefusalWriter refusals,
     Clock clock) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
@@ -151,7 +151,7 @@
       response.setStatusCode(head.status());
       response.headers().addAll(head.headers());
       response.setChunked(true);
-      dependencies.closing().mark(response);
+      dependencies.connectionCloseHeader().addIfStopping(response);
     }
     if (response.writeQueueFull()) {
       response.setWriteQueueMaxSize(MAXIMUM_ANSWER_BYTES);
@@ -172,7 +172,7 @@
             response.headers().addAll(head.headers());
           });
       response.setChunked(true);
-      dependencies.closing().mark(response);
+      dependencies.connectionCloseHeader().addIfStopping(response);
     }
     response.end();
     dependencies
@@ -188,7 +188,7 @@
     }
     response.setStatusCode(answer.status());
     response.headers().addAll(answer.headers());
-    dependencies.closing().mark(response);
+    dependencies.connectionCloseHeader().addIfStopping(response);
     response.end(answer.body());
   }
 
@@ -355,7 +355,7 @@
               prefilled.get().tokens(),
               0,
               tookMillis(),
-              dependencies.handleMillis().apply(upstream().service())));
+              dependencies.handleLifetimeMillis().apply(upstream().service())));
     }
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -50,7 +50,7 @@
 
   private final Vertx vertx;
   private final ForwardServerDependencies dependencies;
-  private final ForwardDependencies exchangePeers;
+  private final ForwardDependencies exchangeDependencies;
   private final RefusalWriter refusals;
   private final PlainResponseTimes plainResponseTimes = new PlainResponseTimes();
   private final Set<HttpConnection> connections = new HashSet<>();
@@ -70,20 +70,21 @@
   public ForwardServer(Vertx vertx, ForwardServerDependencies dependencies, ObjectMapper json) {
     this.vertx = vertx;
     this.dependencies = dependencies;
-    ConnectionCloseHeader closing = new ConnectionCloseHeader(() -> stopping);
+    ConnectionCloseHeader connectionCloseHeader = new ConnectionCloseHeader(() -> stopping);
     this.refusals =
-        new RefusalWriter(dependencies.protocol(), json, dependencies.random(), closing);
-    this.exchangePeers =
+        new RefusalWriter(
+            dependencies.protocol(), json, dependencies.random(), connectionCloseHeader);
+    this.exchangeDependencies =
         new ForwardDependencies(
             dependencies.protocol(),
             new UpstreamConnections(vertx, dependencies.clock()),
             dependencies.upstreams(),
-            dependencies.handleMillis(),
+            dependencies.handleLifetimeMillis(),
             dependencies.liveness(),
             dependencies.feedback(),
             this::recordOutputLength,
             plainResponseTimes::update,
-            closing,
+            connectionCloseHeader,
             refusals,
             dependencies.clock());
   }
@@ -128,12 +129,12 @@
 
   /** How many connections to upstreams were opened. */
   public long connectionsOpened() {
-    return exchangePeers.connections().opened();
+    return exchangeDependencies.connections().opened();
   }
 
   /** Forgets connections to upstreams that are no longer known. */
   public void keepOnly(Set<Incarnation> known) {
-    exchangePeers.connections().keepOnly(known);
+    exchangeDependencies.connections().keepOnly(known);
   }
 
   private void opened(HttpConnection connection) {
@@ -270,7 +271,7 @@
     RequestProfile profile = profileOf(forwarded, arrival);
     boolean streaming = route.streaming();
     ForwardExchange exchange =
-        new ForwardExchange(exchangePeers, forwarded, profile, request, streaming);
+        new ForwardExchange(exchangeDependencies, forwarded, profile, request, streaming);
     Context context = vertx.getOrCreateContext();
     RequestHandle handle =
         dependencies
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServerDependencies.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServerDependencies.java
@@ -22,7 +22,7 @@
  * @param routing gives the newest routes; empty before the first were heard of
  * @param registry runs requests
  * @param upstreams finds upstreams by name
- * @param handleMillis how long KV caches of a service live, in milliseconds
+ * @param handleLifetimeMillis how long KV caches of a service live, in milliseconds
  * @param tokensPerEvent how many tokens an event of a service's streams carries
  * @param liveness hears signs of life
  * @param feedback hears what upstreams say of themselves
@@ -37,7 +37,7 @@
     Supplier<Optional<RoutingConfiguration>> routing,
     RequestRegistry registry,
     Function<UpstreamName, Optional<UpstreamDefinition>> upstreams,
-    Function<String, Long> handleMillis,
+    Function<String, Long> handleLifetimeMillis,
     Function<String, Integer> tokensPerEvent,
     LivenessListener liveness,
     UpstreamFeedbackRecorder feedback,
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/RefusalWriter.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/RefusalWriter.java
@@ -37,17 +37,17 @@
   private final ForwardingProtocol protocol;
   private final ObjectMapper json;
   private final RandomGenerator random;
-  private final ConnectionCloseHeader closing;
+  private final ConnectionCloseHeader connectionCloseHeader;
 
   RefusalWriter(
       ForwardingProtocol protocol,
       ObjectMapper json,
       RandomGenerator random,
-      ConnectionCloseHeader closing) {
+      ConnectionCloseHeader connectionCloseHeader) {
     this.protocol = protocol;
     this.json = json;
     this.random = random;
-    this.closing = closing;
+    this.connectionCloseHeader = connectionCloseHeader;
   }
 
   /** Ends a request; an answer that has begun is broken off, so that it cannot look complete. */
@@ -67,7 +67,7 @@
     }
     protocol.addAttempt(response.headers(), attempt);
     response.putHeader("content-type", "application/json");
-    closing.mark(response);
+    connectionCloseHeader.addIfStopping(response);
     response.end(body(refusal));
   }
 
