--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
@@ -237,7 +237,7 @@
   }
 
   private void heardOf(UpstreamDefinition upstream, long sentAtMillis) {
-    dependencies.liveness().alive(upstream.incarnation(), sentAtMillis);
+    dependencies.liveness().responded(upstream.incarnation(), sentAtMillis);
   }
 
   /** What the head of an answer that does not serve the request says of the attempt. */
@@ -304,7 +304,7 @@
     @Override
     public void failed(UpstreamFailure failure) {
       if (failure == UpstreamFailure.CONNECT_FAILED) {
-        dependencies.liveness().refuses(upstream.name());
+        dependencies.liveness().connectionFailed(upstream.name());
       }
       tell(new LifecycleEvent.UpstreamFailed(attempt, upstream.name(), failure));
     }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/LivenessListener.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/LivenessListener.java
@@ -11,8 +11,8 @@
    *
    * @param upstream the life that was believed in when it was sent
    */
-  void alive(Incarnation upstream, long sentAtMillis);
+  void responded(Incarnation upstream, long sentAtMillis);
 
   /** No connection to an upstream came about. */
-  void refuses(UpstreamName upstream);
+  void connectionFailed(UpstreamName upstream);
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamLiveness.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamLiveness.java
@@ -14,48 +14,48 @@
   private static final Logger LOG = LoggerFactory.getLogger(UpstreamLiveness.class);
 
   /** Stands for the start of an upstream that does not say when it started. */
-  private static final long FIRST_START_MILLIS = 1;
+  private static final long DEFAULT_START_MILLIS = 1;
 
   /** An entry stays in the list when its upstream is gone, so it proves no life after a cut. */
-  private static final long PROVES_NOTHING_MILLIS = Long.MIN_VALUE;
+  private static final long NO_RESPONSE_MILLIS = Long.MIN_VALUE;
 
   private final Quarantine quarantine;
   private final Clock clock;
-  private final Consumer<UpstreamName> startedAgain;
+  private final Consumer<UpstreamName> restarted;
 
   /**
    * Creates an instance with whom it tells.
    *
    * @param quarantine counts a crash once for each life
    * @param clock tells the time
-   * @param startedAgain hears of upstreams on which all that ran is over
+   * @param restarted hears of upstreams on which all that ran is over
    */
-  public UpstreamLiveness(Quarantine quarantine, Clock clock, Consumer<UpstreamName> startedAgain) {
+  public UpstreamLiveness(Quarantine quarantine, Clock clock, Consumer<UpstreamName> restarted) {
     this.quarantine = quarantine;
     this.clock = clock;
-    this.startedAgain = startedAgain;
+    this.restarted = restarted;
   }
 
   /** Handles a life that the list shows. */
   public void listed(Incarnation upstream) {
-    if (heardOf(upstream, PROVES_NOTHING_MILLIS)) {
+    if (recordIncarnation(upstream, NO_RESPONSE_MILLIS)) {
       LOG.atInfo().addKeyValue("upstream", upstream).log("upstream has started again");
-      startedAgain.accept(upstream.upstream());
+      restarted.accept(upstream.upstream());
     }
   }
 
   @Override
-  public void alive(Incarnation upstream, long sentAtMillis) {
-    heardOf(upstream, sentAtMillis);
+  public void responded(Incarnation upstream, long sentAtMillis) {
+    recordIncarnation(upstream, sentAtMillis);
   }
 
   @Override
-  public void refuses(UpstreamName upstream) {
+  public void connectionFailed(UpstreamName upstream) {
     quarantine.connectionsRefused(upstream, clock.millis());
   }
 
-  private boolean heardOf(Incarnation upstream, long asOfMillis) {
-    long start = Math.max(FIRST_START_MILLIS, upstream.startedAtMillis());
+  private boolean recordIncarnation(Incarnation upstream, long asOfMillis) {
+    long start = Math.max(DEFAULT_START_MILLIS, upstream.startedAtMillis());
     return quarantine.incarnation(upstream.upstream(), start, asOfMillis, clock.millis());
   }
 }
--- a/daemon/src/test/java/org/marjoramsail/daemon/forward/UpstreamLivenessTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/forward/UpstreamLivenessTest.java
@@ -15,40 +15,40 @@
 class UpstreamLivenessTest {
 
   private static final UpstreamName ENGINE = new UpstreamName("i-1");
-  private static final long CONTENT = 7;
+  private static final long FINGERPRINT = 7;
 
   private final ManualClock clock = new ManualClock(10_000);
   private final Quarantine quarantine = new Quarantine(60_000, 500, 100);
-  private final List<UpstreamName> startedAgain = new ArrayList<>();
-  private final UpstreamLiveness lives = new UpstreamLiveness(quarantine, clock, startedAgain::add);
+  private final List<UpstreamName> restarted = new ArrayList<>();
+  private final UpstreamLiveness liveness = new UpstreamLiveness(quarantine, clock, restarted::add);
 
   @Test
-  void aLaterStartEndsWhatRanBefore() {
-    lives.listed(new Incarnation(ENGINE, 1_000));
-    lives.listed(new Incarnation(ENGINE, 1_000));
-    assertThat(startedAgain).isEmpty();
+  void aLaterStartIsReportedAsARestart() {
+    liveness.listed(new Incarnation(ENGINE, 1_000));
+    liveness.listed(new Incarnation(ENGINE, 1_000));
+    assertThat(restarted).isEmpty();
 
-    lives.listed(new Incarnation(ENGINE, 2_000));
+    liveness.listed(new Incarnation(ENGINE, 2_000));
 
-    assertThat(startedAgain).containsExactly(ENGINE);
+    assertThat(restarted).containsExactly(ENGINE);
   }
 
   /** What an earlier life had still to write came after the entry of the later one. */
   @Test
-  void anEarlierStartEndsNothing() {
-    lives.listed(new Incarnation(ENGINE, 2_000));
+  void anEarlierStartIsNotReportedAsARestart() {
+    liveness.listed(new Incarnation(ENGINE, 2_000));
 
-    lives.listed(new Incarnation(ENGINE, 1_000));
+    liveness.listed(new Incarnation(ENGINE, 1_000));
 
-    assertThat(startedAgain).isEmpty();
+    assertThat(restarted).isEmpty();
   }
 
   @Test
-  void anUpstreamThatNeverSaysWhenItStartedNeverStartsAgain() {
-    lives.listed(new Incarnation(ENGINE, Incarnation.UNKNOWN_START));
-    lives.listed(new Incarnation(ENGINE, Incarnation.UNKNOWN_START));
+  void anUpstreamWithoutAStartTimeIsNeverReportedAsRestarted() {
+    liveness.listed(new Incarnation(ENGINE, Incarnation.UNKNOWN_START));
+    liveness.listed(new Incarnation(ENGINE, Incarnation.UNKNOWN_START));
 
-    assertThat(startedAgain).isEmpty();
+    assertThat(restarted).isEmpty();
   }
 
   /**
@@ -56,15 +56,15 @@
    * sign of life, that would have cleared the prompt that crashed it.
    */
   @Test
-  void anEntryInTheListProvesNoLifeAfterACut() {
+  void anEntryInTheListDoesNotClearTheSuspicionOfACrash() {
     RequestId request = new RequestId("q1");
-    lives.listed(new Incarnation(ENGINE, 1_000));
-    quarantine.started(ENGINE, request, 1, CONTENT);
+    liveness.listed(new Incarnation(ENGINE, 1_000));
+    quarantine.started(ENGINE, request, 1, FINGERPRINT);
     quarantine.connectionLost(ENGINE, request, 1, clock.millis());
 
-    lives.listed(new Incarnation(ENGINE, 1_000));
-    lives.refuses(ENGINE);
+    liveness.listed(new Incarnation(ENGINE, 1_000));
+    liveness.connectionFailed(ENGINE);
 
-    assertThat(quarantine.suspicion(CONTENT, clock.millis())).isEqualTo(Suspicion.SUSPECT);
+    assertThat(quarantine.suspicion(FINGERPRINT, clock.millis())).isEqualTo(Suspicion.SUSPECT);
   }
 }
