--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
@@ -284,11 +284,11 @@
     }
 
     /** What another upstream says that has this address now is not said by the one meant. */
-    void hearStatement(ResponseDisposition disposition, int status, MultiMap headers) {
+    void recordFeedback(ResponseDisposition disposition, int status, MultiMap headers) {
       if (disposition != ResponseDisposition.MISDIRECTED) {
         dependencies
             .feedback()
-            .heard(upstream, dependencies.protocol().feedbackOf(status, headers));
+            .recordFeedback(upstream, dependencies.protocol().feedbackOf(status, headers));
       }
     }
 
@@ -331,7 +331,7 @@
         failed(UpstreamFailure.MALFORMED);
         return false;
       }
-      hearStatement(disposition, status, headers);
+      recordFeedback(disposition, status, headers);
       return true;
     }
 
@@ -380,7 +380,7 @@
         failed(UpstreamFailure.MALFORMED);
         return false;
       }
-      hearStatement(disposition, status, headers);
+      recordFeedback(disposition, status, headers);
       head = new Head(status, dependencies.protocol().returnedHeaders(headers));
       return true;
     }
@@ -459,7 +459,9 @@
 
     @Override
     public boolean head(int status, MultiMap headers) {
-      dependencies.feedback().heard(holder, dependencies.protocol().feedbackOf(status, headers));
+      dependencies
+          .feedback()
+          .recordFeedback(holder, dependencies.protocol().feedbackOf(status, headers));
       return true;
     }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamFeedbackRecorder.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamFeedbackRecorder.java
@@ -24,57 +24,56 @@
   /** A limit that moves a little with each answer is no change of state. */
   private static final Set<FeedbackChange> NOT_LOGGED = Set.of(FeedbackChange.LIMIT_CHANGED);
 
-  private final UpstreamFeedbackTable conditions;
+  private final UpstreamFeedbackTable feedbackTable;
   private final Clock clock;
   private final Map<FeedbackChange, Counter> counters = new EnumMap<>(FeedbackChange.class);
 
   /**
    * Creates an instance with what it works with.
    *
-   * @param conditions what is believed
+   * @param feedbackTable what is believed
    * @param meters shows how often beliefs change and how many upstreams they are about
    */
   public UpstreamFeedbackRecorder(
-      UpstreamFeedbackTable conditions, Clock clock, MeterRegistry meters) {
-    this.conditions = conditions;
+      UpstreamFeedbackTable feedbackTable, Clock clock, MeterRegistry meters) {
+    this.feedbackTable = feedbackTable;
     this.clock = clock;
     for (FeedbackChange change : FeedbackChange.values()) {
       counters.put(
           change, meters.counter("marjoramsail.upstream.statements", "change", change.code()));
     }
     String gauge = "marjoramsail.upstreams.stated.";
-    meters.gauge(gauge + "limited", conditions, believed -> (double) believed.limited());
-    meters.gauge(gauge + "leaving", conditions, believed -> (double) believed.leaving());
-    meters.gauge(
-        gauge + "paused", conditions, believed -> (double) believed.paused(clock.millis()));
+    meters.gauge(gauge + "limited", feedbackTable, table -> (double) table.limited());
+    meters.gauge(gauge + "leaving", feedbackTable, table -> (double) table.leaving());
+    meters.gauge(gauge + "paused", feedbackTable, table -> (double) table.paused(clock.millis()));
   }
 
   /** Handles what the head of an answer says of the upstream that gave it. */
-  public void heard(UpstreamDefinition upstream, UpstreamFeedback statement) {
+  public void recordFeedback(UpstreamDefinition upstream, UpstreamFeedback feedback) {
     Set<FeedbackChange> changes =
-        conditions.update(upstream.incarnation(), statement, clock.millis());
+        feedbackTable.update(upstream.incarnation(), feedback, clock.millis());
     for (FeedbackChange change : changes) {
       counters.get(change).increment();
       if (!NOT_LOGGED.contains(change)) {
-        log(upstream, statement, change);
+        log(upstream, feedback, change);
       }
     }
   }
 
   /** Whether an upstream wants a request from this host now. */
   public boolean isAccepting(UpstreamDefinition upstream) {
-    return conditions.isAccepting(upstream.incarnation(), clock.millis());
+    return feedbackTable.isAccepting(upstream.incarnation(), clock.millis());
   }
 
   private static void log(
-      UpstreamDefinition upstream, UpstreamFeedback statement, FeedbackChange change) {
+      UpstreamDefinition upstream, UpstreamFeedback feedback, FeedbackChange change) {
     LOG.atInfo()
         .addKeyValue("upstream", upstream.incarnation())
         .addKeyValue("service", upstream.service())
         .addKeyValue("change", change.code())
-        .addKeyValue("requestsPerSecond", statement.requestsPerSecond().orElse(null))
-        .addKeyValue("leaving", statement.leaving())
-        .addKeyValue("pauseMillis", statement.pauseMillis().orElse(null))
+        .addKeyValue("requestsPerSecond", feedback.requestsPerSecond().orElse(null))
+        .addKeyValue("leaving", feedback.leaving())
+        .addKeyValue("pauseMillis", feedback.pauseMillis().orElse(null))
         .log("upstream said of itself");
   }
 }
