--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardCall.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardCall.java
@@ -54,7 +54,7 @@
   /** Connects and sends. */
   ForwardCall start(ForwardedRequest request, MultiMap headers) {
     connections
-        .take(target)
+        .acquire(target)
         .onSuccess(taken -> send(taken, request, headers))
         .onFailure(cause -> fail(UpstreamFailure.CONNECT_FAILED));
     return this;
@@ -128,7 +128,7 @@
         response.headers().contains("content-length")
             || response.headers().contains("transfer-encoding");
     if (framed && idleMillis.isPresent() && !"close".equalsIgnoreCase(kept)) {
-      connections.giveBack(target.incarnation(), used, idleMillis.get());
+      connections.release(target.incarnation(), used, idleMillis.get());
     } else {
       used.close();
     }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -108,12 +108,12 @@
   }
 
   /** From now on answers tell callers not to use their connection again. */
-  public void leave() {
+  public void sendConnectionClose() {
     stopping = true;
   }
 
   /** Refuses new requests and closes what is idle; what runs goes on. */
-  public void refuseNew() {
+  public void refuseNewRequests() {
     refusing = true;
     for (HttpConnection connection : List.copyOf(connections)) {
       if (!busy.contains(connection)) {
@@ -133,8 +133,8 @@
   }
 
   /** Forgets connections to upstreams that are no longer known. */
-  public void keepOnly(Set<Incarnation> known) {
-    exchangeDependencies.connections().keepOnly(known);
+  public void retainConnections(Set<Incarnation> known) {
+    exchangeDependencies.connections().retainOnly(known);
   }
 
   private void opened(HttpConnection connection) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamConnections.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamConnections.java
@@ -23,22 +23,22 @@
 final class UpstreamConnections {
 
   /** How many idle connections are kept for one upstream. */
-  private static final int MOST_IDLE = 8;
+  private static final int MAXIMUM_IDLE = 8;
 
   /**
    * How long a new connection may take, in milliseconds. Its round trip is a few; a lost packet is
    * repeated after a second, by which time another upstream would have answered.
    */
-  private static final int CONNECT_MILLIS = 400;
+  private static final int CONNECT_TIMEOUT_MILLIS = 400;
 
   /** How long before the upstream closes an idle connection it is no longer used, milliseconds. */
   private static final long IDLE_MARGIN_MILLIS = 500;
 
-  private record Idle(HttpClientConnection connection, long usableUntilMillis) {}
+  private record IdleConnection(HttpClientConnection connection, long usableUntilMillis) {}
 
   private final HttpClientAgent client;
   private final Clock clock;
-  private final Map<Incarnation, Deque<Idle>> idle = new HashMap<>();
+  private final Map<Incarnation, Deque<IdleConnection>> idle = new HashMap<>();
   private long opened;
 
   UpstreamConnections(Vertx vertx, Clock clock) {
@@ -50,15 +50,15 @@
                 .setTcpNoDelay(true)
                 .setTcpKeepAlive(true)
                 .setMaxHeaderSize(64 * 1024)
-                .setConnectTimeout(CONNECT_MILLIS));
+                .setConnectTimeout(CONNECT_TIMEOUT_MILLIS));
     this.clock = clock;
   }
 
   /** A connection that nothing else uses; a failure proves that nothing was sent. */
-  Future<HttpClientConnection> take(UpstreamDefinition target) {
-    Deque<Idle> kept = idle.get(target.incarnation());
-    while (kept != null && !kept.isEmpty()) {
-      Idle newest = kept.pollLast();
+  Future<HttpClientConnection> acquire(UpstreamDefinition target) {
+    Deque<IdleConnection> idleConnections = idle.get(target.incarnation());
+    while (idleConnections != null && !idleConnections.isEmpty()) {
+      IdleConnection newest = idleConnections.pollLast();
       if (newest.usableUntilMillis() > clock.millis()) {
         return Future.succeededFuture(newest.connection());
       }
@@ -69,36 +69,37 @@
         new HttpConnectOptions()
             .setHost(target.address())
             .setPort(target.port())
-            .setConnectTimeout(CONNECT_MILLIS));
+            .setConnectTimeout(CONNECT_TIMEOUT_MILLIS));
   }
 
   /** Keeps a connection whose last answer is whole. */
-  void giveBack(Incarnation target, HttpClientConnection connection, long idleMillis) {
+  void release(Incarnation target, HttpClientConnection connection, long idleMillis) {
     long usableMillis = idleMillis - IDLE_MARGIN_MILLIS;
-    Deque<Idle> kept = idle.computeIfAbsent(target, life -> new ArrayDeque<>());
-    if (usableMillis <= 0 || kept.size() >= MOST_IDLE) {
+    Deque<IdleConnection> idleConnections =
+        idle.computeIfAbsent(target, incarnation -> new ArrayDeque<>());
+    if (usableMillis <= 0 || idleConnections.size() >= MAXIMUM_IDLE) {
       connection.close();
       return;
     }
-    Idle one = new Idle(connection, clock.millis() + usableMillis);
-    kept.addLast(one);
-    connection.closeHandler(closed -> kept.remove(one));
+    IdleConnection idleConnection = new IdleConnection(connection, clock.millis() + usableMillis);
+    idleConnections.addLast(idleConnection);
+    connection.closeHandler(closed -> idleConnections.remove(idleConnection));
   }
 
   /** Closes what is kept for upstreams that are no longer known, and what is too old. */
-  void keepOnly(Set<Incarnation> known) {
+  void retainOnly(Set<Incarnation> known) {
     long now = clock.millis();
     idle.entrySet()
         .removeIf(
             entry -> {
-              boolean gone = !known.contains(entry.getKey());
-              for (Idle one : List.copyOf(entry.getValue())) {
-                if (gone || one.usableUntilMillis() <= now) {
-                  entry.getValue().remove(one);
-                  one.connection().close();
+              boolean removed = !known.contains(entry.getKey());
+              for (IdleConnection idleConnection : List.copyOf(entry.getValue())) {
+                if (removed || idleConnection.usableUntilMillis() <= now) {
+                  entry.getValue().remove(idleConnection);
+                  idleConnection.connection().close();
                 }
               }
-              return gone;
+              return removed;
             });
   }
 
