--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingState.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingState.java
@@ -29,29 +29,32 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(ForwardingState.class);
 
-  private final DiscoveredUpstreams beliefs = new DiscoveredUpstreams();
+  private final DiscoveredUpstreams discoveredUpstreams = new DiscoveredUpstreams();
   private final Clock clock;
-  private final Consumer<Configuration> pools;
-  private final Consumer<Incarnation> lives;
+  private final Consumer<Configuration> poolListener;
+  private final Consumer<Incarnation> incarnationListener;
   private Optional<RoutingConfiguration> routing = Optional.empty();
   private volatile Configuration configuration = Configuration.empty();
   private Set<Incarnation> incarnations = Set.of();
-  private boolean gathering;
-  private boolean publishDue;
-  private boolean upstreamsReachable = true;
+  private boolean batching;
+  private boolean publishPending;
+  private boolean upstreamListReachable = true;
   private boolean routesReachable = true;
 
   /**
    * Starts with nothing known.
    *
    * @param clock tells the time
-   * @param pools hears of each change of the pools
-   * @param lives hears of each life of an upstream, as it is first believed in
+   * @param poolListener hears of each change of the pools
+   * @param incarnationListener hears of each life of an upstream, as it is first believed in
    */
-  public ForwardingState(Clock clock, Consumer<Configuration> pools, Consumer<Incarnation> lives) {
+  public ForwardingState(
+      Clock clock,
+      Consumer<Configuration> poolListener,
+      Consumer<Incarnation> incarnationListener) {
     this.clock = clock;
-    this.pools = pools;
-    this.lives = lives;
+    this.poolListener = poolListener;
+    this.incarnationListener = incarnationListener;
   }
 
   /** The routes in force here. */
@@ -66,13 +69,13 @@
 
   /** Whether requests can be routed. */
   public boolean isReady() {
-    return routing.isPresent() && beliefs.isKnown();
+    return routing.isPresent() && discoveredUpstreams.isKnown();
   }
 
   /** Takes routes; older ones than those in force are dropped. */
-  public void routes(RoutingConfiguration newer) {
-    routesBack();
-    if (routing.filter(known -> known.version() >= newer.version()).isPresent()) {
+  public void updateRoutes(RoutingConfiguration newer) {
+    routesAvailable();
+    if (routing.filter(current -> current.version() >= newer.version()).isPresent()) {
       return;
     }
     routing = Optional.of(newer);
@@ -86,7 +89,7 @@
   }
 
   /** Records that the routes could not be read. */
-  public void routesLost(String cause) {
+  public void routesUnavailable(String cause) {
     if (routesReachable) {
       routesReachable = false;
       LOG.atWarn().addKeyValue("cause", cause).log("routes cannot be read");
@@ -94,7 +97,7 @@
   }
 
   /** Records that the routes were read. */
-  public void routesBack() {
+  public void routesAvailable() {
     if (!routesReachable) {
       routesReachable = true;
       LOG.atInfo().log("routes can be read again");
@@ -106,23 +109,26 @@
    *
    * @param unusable names whose entries are there and cannot be used
    */
-  public void upstreams(List<ListedUpstream> whole, Collection<UpstreamName> unusable) {
-    upstreamsBack();
-    if (beliefs.listed(whole, unusable, clock.millis())) {
+  public void replaceUpstreams(List<ListedUpstream> listed, Collection<UpstreamName> unusable) {
+    upstreamsAvailable();
+    if (discoveredUpstreams.listed(listed, unusable, clock.millis())) {
       publish();
     }
   }
 
   /** Handles what another daemon knows, where the lists cannot be read here. */
-  public void learned(Optional<RoutingConfiguration> routes, List<ListedUpstream> upstreams) {
+  public void receivedFromDaemon(
+      Optional<RoutingConfiguration> routes, List<ListedUpstream> upstreams) {
     boolean newer =
         routes
-            .filter(other -> routing.filter(own -> own.version() >= other.version()).isEmpty())
+            .filter(
+                received ->
+                    routing.filter(current -> current.version() >= received.version()).isEmpty())
             .isPresent();
     if (newer) {
       routing = routes;
     }
-    if (beliefs.listedByPeer(upstreams) || newer) {
+    if (discoveredUpstreams.listedByPeer(upstreams) || newer) {
       LOG.atInfo()
           .addKeyValue("version", routing.map(RoutingConfiguration::version).orElse(0L))
           .addKeyValue("upstreams", upstreams.size())
@@ -132,8 +138,8 @@
   }
 
   /** Whether nothing is known and the lists cannot be read, so that others have to be asked. */
-  public boolean needsOthers() {
-    return !isReady() && !(routesReachable && upstreamsReachable);
+  public boolean needsOtherDaemons() {
+    return !isReady() && !(routesReachable && upstreamListReachable);
   }
 
   /**
@@ -143,28 +149,28 @@
    * built anew of all upstreams, so that putting each change in force alone costs the square of the
    * group.
    */
-  public void together(Runnable changes) {
-    gathering = true;
+  public void applyTogether(Runnable changes) {
+    batching = true;
     try {
       changes.run();
     } finally {
-      gathering = false;
-      if (publishDue) {
+      batching = false;
+      if (publishPending) {
         publish();
       }
     }
   }
 
   /** Handles an entry that is new or has changed. */
-  public void upstream(ListedUpstream one) {
-    upstreamsBack();
-    if (beliefs.changed(one, clock.millis())) {
+  public void updateUpstream(ListedUpstream listed) {
+    upstreamsAvailable();
+    if (discoveredUpstreams.changed(listed, clock.millis())) {
       LOG.atInfo()
-          .addKeyValue("upstream", one.definition().name())
-          .addKeyValue("service", one.definition().service())
-          .addKeyValue("role", one.definition().role())
-          .addKeyValue("leaving", one.definition().drained())
-          .addKeyValue("revision", one.revision())
+          .addKeyValue("upstream", listed.definition().name())
+          .addKeyValue("service", listed.definition().service())
+          .addKeyValue("role", listed.definition().role())
+          .addKeyValue("leaving", listed.definition().drained())
+          .addKeyValue("revision", listed.revision())
           .log("upstream listed");
       publish();
     }
@@ -172,8 +178,8 @@
 
   /** Records that an entry cannot be used any more. */
   public void upstreamUnusable(UpstreamName name) {
-    upstreamsBack();
-    if (beliefs.unusable(name, clock.millis())) {
+    upstreamsAvailable();
+    if (discoveredUpstreams.unusable(name, clock.millis())) {
       LOG.atWarn()
           .addKeyValue("upstream", name)
           .log("entry of an upstream cannot be used any more");
@@ -183,8 +189,8 @@
 
   /** Records that an entry was removed. */
   public void upstreamRemoved(UpstreamName name) {
-    upstreamsBack();
-    if (beliefs.removed(name, clock.millis())) {
+    upstreamsAvailable();
+    if (discoveredUpstreams.removed(name, clock.millis())) {
       LOG.atInfo().addKeyValue("upstream", name).log("upstream gone from the list");
       publish();
     }
@@ -192,22 +198,22 @@
 
   /** Records that the list of upstreams was heard from without news. */
   public void upstreamListResponded() {
-    upstreamsBack();
-    beliefs.received(clock.millis());
+    upstreamsAvailable();
+    discoveredUpstreams.received(clock.millis());
   }
 
   /** Records that the list of upstreams could not be read. */
-  public void upstreamsLost(String cause) {
-    if (upstreamsReachable) {
-      upstreamsReachable = false;
+  public void upstreamsUnavailable(String cause) {
+    if (upstreamListReachable) {
+      upstreamListReachable = false;
       LOG.atWarn().addKeyValue("cause", cause).log("list of upstreams cannot be read");
     }
-    beliefs.readFailed();
+    discoveredUpstreams.readFailed();
   }
 
   /** Does what time has made due; called some times a second. */
   public void tick() {
-    if (beliefs.tick(clock.millis())) {
+    if (discoveredUpstreams.tick(clock.millis())) {
       LOG.atInfo().log("upstreams that did not come back to the list are gone");
       publish();
     }
@@ -220,15 +226,15 @@
         + version
         + ", upstreams "
         + configuration.upstreams().size()
-        + (beliefs.isReachable() ? "" : ", list not read")
+        + (discoveredUpstreams.isReachable() ? "" : ", list not read")
         + ", heard "
-        + (long) ageMillis()
+        + (long) upstreamListAgeMillis()
         + " ms ago";
   }
 
   /** How long ago the list of upstreams was heard from, in milliseconds. */
-  public double ageMillis() {
-    return (double) (clock.millis() - beliefs.lastReceivedAtMillis());
+  public double upstreamListAgeMillis() {
+    return (double) (clock.millis() - discoveredUpstreams.lastReceivedAtMillis());
   }
 
   /** The version of the routes in force; zero before the first. */
@@ -237,7 +243,7 @@
   }
 
   /** What the engines of a service can do. */
-  public Optional<EngineProfile> engines(String service) {
+  public Optional<EngineProfile> engineFacts(String service) {
     return routing.flatMap(known -> known.service(service)).flatMap(RoutedService::engines);
   }
 
@@ -254,30 +260,33 @@
     return incarnations;
   }
 
-  private void upstreamsBack() {
-    if (!upstreamsReachable) {
-      upstreamsReachable = true;
+  private void upstreamsAvailable() {
+    if (!upstreamListReachable) {
+      upstreamListReachable = true;
       LOG.atInfo().log("list of upstreams can be read again");
     }
   }
 
   private void publish() {
-    if (gathering) {
-      publishDue = true;
+    if (batching) {
+      publishPending = true;
       return;
     }
-    publishDue = false;
+    publishPending = false;
     if (routing.isEmpty()) {
       return;
     }
     Set<Incarnation> before = incarnations;
     configuration =
-        PoolConfiguration.of(configuration.revision() + 1, routing.get(), beliefs.upstreams());
+        PoolConfiguration.of(
+            configuration.revision() + 1, routing.get(), discoveredUpstreams.upstreams());
     incarnations =
         configuration.upstreams().stream()
             .map(UpstreamDefinition::incarnation)
             .collect(Collectors.toUnmodifiableSet());
-    pools.accept(configuration);
-    incarnations.stream().filter(life -> !before.contains(life)).forEach(lives);
+    poolListener.accept(configuration);
+    incarnations.stream()
+        .filter(incarnation -> !before.contains(incarnation))
+        .forEach(incarnationListener);
   }
 }
--- a/daemon/src/test/java/org/marjoramsail/daemon/forward/ForwardingStateTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/forward/ForwardingStateTest.java
@@ -26,21 +26,22 @@
 
   private long now;
   private final List<Configuration> published = new ArrayList<>();
-  private final List<Incarnation> lives = new ArrayList<>();
-  private final ForwardingState state = new ForwardingState(() -> now, published::add, lives::add);
+  private final List<Incarnation> newIncarnations = new ArrayList<>();
+  private final ForwardingState state =
+      new ForwardingState(() -> now, published::add, newIncarnations::add);
 
   @BeforeEach
-  void know() {
-    state.routes(
+  void publishInitialState() {
+    state.updateRoutes(
         new RoutingConfiguration(
             1,
             new RouteTable(List.of()),
             List.of(new RoutedService("desk", 100, Optional.empty())),
             new CallerLimits(1, 1, 1, 1)));
-    state.upstreams(List.of(upstream("a"), upstream("b")), List.of());
+    state.replaceUpstreams(List.of(upstream("a"), upstream("b")), List.of());
     now += SETTLED_MILLIS;
     published.clear();
-    lives.clear();
+    newIncarnations.clear();
   }
 
   /**
@@ -48,38 +49,38 @@
    * and for as long every request of the daemon waited.
    */
   @Test
-  void changesThatAreToldTogetherAreInForceTogether() {
-    state.together(
+  void changesOfOneBatchArePublishedOnce() {
+    state.applyTogether(
         () -> {
           state.upstreamRemoved(new UpstreamName("a"));
-          state.upstream(upstream("c"));
-          state.upstream(upstream("d"));
+          state.updateUpstream(upstream("c"));
+          state.updateUpstream(upstream("d"));
           assertThat(published).isEmpty();
         });
 
     assertThat(published).hasSize(1);
     assertThat(published.get(0).upstreams())
-        .extracting(one -> one.name().value())
+        .extracting(upstream -> upstream.name().value())
         .containsExactlyInAnyOrder("b", "c", "d");
-    assertThat(lives)
-        .extracting(life -> life.upstream().value())
+    assertThat(newIncarnations)
+        .extracting(incarnation -> incarnation.upstream().value())
         .containsExactlyInAnyOrder("c", "d");
     assertThat(state.incarnations()).hasSize(3);
   }
 
   @Test
   void changesWithoutEffectPublishNothing() {
-    state.together(() -> state.upstreamRemoved(new UpstreamName("unknown")));
+    state.applyTogether(() -> state.upstreamRemoved(new UpstreamName("unknown")));
 
     assertThat(published).isEmpty();
   }
 
   /** A leaving upstream must not go on getting work because an entry beside it is broken. */
   @Test
-  void whatWasToldBeforeAFaultIsInForceAllTheSame() {
+  void changesBeforeAnExceptionArePublished() {
     assertThatThrownBy(
             () ->
-                state.together(
+                state.applyTogether(
                     () -> {
                       state.upstreamRemoved(new UpstreamName("a"));
                       throw new IllegalStateException("thrown by the test");
@@ -87,7 +88,7 @@
         .isInstanceOf(IllegalStateException.class);
 
     assertThat(published).hasSize(1);
-    state.upstream(upstream("c"));
+    state.updateUpstream(upstream("c"));
     assertThat(published).hasSize(2);
   }
 
