--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/EventSplitter.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/EventSplitter.java
@@ -33,7 +33,7 @@
    * @return the events that they complete; lines without an event's number stay with the next one
    * @throws NumberFormatException when the number of an event is none
    */
-  List<Event> take(Buffer bytes) {
+  List<Event> split(Buffer bytes) {
     pending.append(bytes.toString(StandardCharsets.ISO_8859_1));
     List<Event> events = new ArrayList<>(1);
     int end = blockEnd();
@@ -54,7 +54,7 @@
   }
 
   /** Whether bytes wait that are no whole event. */
-  boolean isBroken() {
+  boolean hasIncompleteEvent() {
     return pending.length() > 0;
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardCall.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardCall.java
@@ -55,7 +55,7 @@
   ForwardCall start(ForwardedRequest request, MultiMap headers) {
     connections
         .acquire(target)
-        .onSuccess(taken -> send(taken, request, headers))
+        .onSuccess(acquired -> send(acquired, request, headers))
         .onFailure(cause -> fail(UpstreamFailure.CONNECT_FAILED));
     return this;
   }
@@ -66,13 +66,13 @@
     connection.ifPresent(HttpClientConnection::close);
   }
 
-  private void send(HttpClientConnection taken, ForwardedRequest request, MultiMap headers) {
+  private void send(HttpClientConnection acquired, ForwardedRequest request, MultiMap headers) {
     if (closed) {
-      taken.close();
+      acquired.close();
       return;
     }
-    connection = Optional.of(taken);
-    taken.closeHandler(gone -> fail(UpstreamFailure.CUT));
+    connection = Optional.of(acquired);
+    acquired.closeHandler(ignored -> fail(UpstreamFailure.CUT));
     RequestOptions options =
         new RequestOptions()
             .setHost(target.address())
@@ -80,19 +80,19 @@
             .setMethod(request.method())
             .setURI(request.uri())
             .setHeaders(headers);
-    taken
+    acquired
         .request(options)
-        .onSuccess(opened -> send(opened, request))
+        .onSuccess(clientRequest -> send(clientRequest, request))
         .onFailure(cause -> fail(UpstreamFailure.CONNECT_FAILED));
   }
 
-  private void send(HttpClientRequest opened, ForwardedRequest request) {
+  private void send(HttpClientRequest clientRequest, ForwardedRequest request) {
     if (closed) {
       connection.ifPresent(HttpClientConnection::close);
       return;
     }
-    opened.exceptionHandler(cause -> fail(UpstreamFailure.CUT));
-    (request.hasBody() ? opened.send(request.body()) : opened.send())
+    clientRequest.exceptionHandler(cause -> fail(UpstreamFailure.CUT));
+    (request.hasBody() ? clientRequest.send(request.body()) : clientRequest.send())
         .onSuccess(this::receive)
         .onFailure(cause -> fail(UpstreamFailure.CUT));
   }
@@ -120,17 +120,17 @@
       return;
     }
     closed = true;
-    HttpClientConnection used = connection.orElseThrow();
-    used.closeHandler(null);
-    String kept = response.headers().get("connection");
+    HttpClientConnection finished = connection.orElseThrow();
+    finished.closeHandler(null);
+    String connectionHeader = response.headers().get("connection");
     Optional<Long> idleMillis = protocol.keepAliveMillis(response.headers());
     boolean framed =
         response.headers().contains("content-length")
             || response.headers().contains("transfer-encoding");
-    if (framed && idleMillis.isPresent() && !"close".equalsIgnoreCase(kept)) {
-      connections.release(target.incarnation(), used, idleMillis.get());
+    if (framed && idleMillis.isPresent() && !"close".equalsIgnoreCase(connectionHeader)) {
+      connections.release(target.incarnation(), finished, idleMillis.get());
     } else {
-      used.close();
+      finished.close();
     }
     listener.end();
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
@@ -32,19 +32,19 @@
 final class ForwardExchange implements AttemptSender, CallerSink {
 
   /** A body that is longer than this is no answer of these services, bytes. */
-  private static final int MAXIMUM_ANSWER_BYTES = 16 << 20;
+  private static final int MAXIMUM_WRITE_QUEUE_BYTES = 16 << 20;
 
-  private record Head(int status, MultiMap headers) {}
+  private record ResponseHead(int status, MultiMap headers) {}
 
   private final ForwardDependencies dependencies;
   private final ForwardedRequest request;
   private final RequestProfile profile;
   private final HttpServerRequest caller;
   private final boolean streaming;
-  private final Map<Integer, PlainResponse> answers = new HashMap<>(2);
+  private final Map<Integer, PlainResponse> responses = new HashMap<>(2);
   private final Map<Integer, KvLocation> handles = new HashMap<>(2);
-  private final Map<UpstreamName, UpstreamDefinition> used = new HashMap<>(2);
-  private Optional<Head> streamHead = Optional.empty();
+  private final Map<UpstreamName, UpstreamDefinition> targets = new HashMap<>(2);
+  private Optional<ResponseHead> streamHead = Optional.empty();
 
   ForwardExchange(
       ForwardDependencies dependencies,
@@ -64,7 +64,13 @@
       LifecycleAction.SendPrefill send, Consumer<LifecycleEvent> events) {
     Optional<UpstreamDefinition> target = target(send.upstream(), send.attempt(), events);
     return target.map(
-        known -> open(known, true, Optional.empty(), 0, new PrefillListener(send, events, known)));
+        definition ->
+            open(
+                definition,
+                true,
+                Optional.empty(),
+                0,
+                new PrefillListener(send, events, definition)));
   }
 
   @Override
@@ -76,13 +82,13 @@
             ? request.parameters().resumeAfter() + send.startIndex()
             : 0;
     return target.map(
-        known ->
+        definition ->
             open(
-                known,
+                definition,
                 false,
                 send.kv().flatMap(this::location),
                 resumeAfter,
-                new AnswerListener(send.attempt(), known, events)));
+                new ResponseListener(send.attempt(), definition, events)));
   }
 
   @Override
@@ -90,13 +96,13 @@
       LifecycleAction.SendPlain send, Consumer<LifecycleEvent> events) {
     Optional<UpstreamDefinition> target = target(send.upstream(), send.attempt(), events);
     return target.map(
-        known ->
+        definition ->
             open(
-                known,
+                definition,
                 false,
                 Optional.empty(),
                 0,
-                new AnswerListener(send.attempt(), known, events)));
+                new ResponseListener(send.attempt(), definition, events)));
   }
 
   /** Closing a call ends what runs; only a KV cache that nobody has fetched is dropped by name. */
@@ -105,18 +111,18 @@
     LifecycleEvent confirmed =
         new LifecycleEvent.CancelConfirmed(cancel.attempt(), cancel.upstream());
     KvLocation handle = handles.get(cancel.attempt());
-    UpstreamDefinition holder = used.get(cancel.upstream());
-    boolean holds =
+    UpstreamDefinition holder = targets.get(cancel.upstream());
+    boolean holdsKvCache =
         handle != null
             && holder != null
             && handle.address().equals(holder.address())
             && handle.port() == holder.port();
-    if (!holds) {
+    if (!holdsKvCache) {
       events.accept(confirmed);
       return;
     }
     MultiMap headers = MultiMap.caseInsensitiveMultiMap();
-    ForwardedRequest drop =
+    ForwardedRequest dropRequest =
         new ForwardedRequest(
             HttpMethod.DELETE,
             dependencies.protocol().handlePath(handle.handle()),
@@ -132,12 +138,12 @@
                 dependencies.protocol(),
                 holder,
                 new DropListener(holder, () -> events.accept(confirmed)))
-            .start(drop, headers);
+            .start(dropRequest, headers);
   }
 
   @Override
   public void deliver(int attempt) {
-    Optional.ofNullable(answers.get(attempt)).ifPresent(this::answer);
+    Optional.ofNullable(responses.get(attempt)).ifPresent(this::answer);
   }
 
   @Override
@@ -147,14 +153,14 @@
       return;
     }
     if (!response.headWritten()) {
-      Head head = streamHead.orElseThrow();
+      ResponseHead head = streamHead.orElseThrow();
       response.setStatusCode(head.status());
       response.headers().addAll(head.headers());
       response.setChunked(true);
       dependencies.connectionCloseHeader().addIfStopping(response);
     }
     if (response.writeQueueFull()) {
-      response.setWriteQueueMaxSize(MAXIMUM_ANSWER_BYTES);
+      response.setWriteQueueMaxSize(MAXIMUM_WRITE_QUEUE_BYTES);
     }
     response.write(Buffer.buffer(text.getBytes(StandardCharsets.ISO_8859_1)));
   }
@@ -181,15 +187,15 @@
   }
 
   @Override
-  public void answer(PlainResponse answer) {
+  public void answer(PlainResponse plainResponse) {
     HttpServerResponse response = caller.response();
     if (response.closed() || response.ended()) {
       return;
     }
-    response.setStatusCode(answer.status());
-    response.headers().addAll(answer.headers());
+    response.setStatusCode(plainResponse.status());
+    response.headers().addAll(plainResponse.headers());
     dependencies.connectionCloseHeader().addIfStopping(response);
-    response.end(answer.body());
+    response.end(plainResponse.body());
   }
 
   @Override
@@ -203,7 +209,7 @@
         dependencies.upstreams().apply(upstream).filter(found -> !found.drained());
     Optional<UpstreamDefinition> accepting = listed.filter(dependencies.feedback()::isAccepting);
     if (accepting.isPresent()) {
-      used.put(upstream, accepting.get());
+      targets.put(upstream, accepting.get());
     } else {
       // The owner of the shard granted it before it knew what this host knows; nothing was sent.
       UpstreamFailure failure =
@@ -236,7 +242,7 @@
         .start(request, headers);
   }
 
-  private void heardOf(UpstreamDefinition upstream, long sentAtMillis) {
+  private void upstreamResponded(UpstreamDefinition upstream, long sentAtMillis) {
     dependencies.liveness().responded(upstream.incarnation(), sentAtMillis);
   }
 
@@ -250,14 +256,14 @@
   }
 
   /** Collects the body of an answer that is needed whole. */
-  private abstract class WholeListener implements ForwardCall.Listener {
+  private abstract class BufferingListener implements ForwardCall.Listener {
     private final Buffer body = Buffer.buffer();
     private final int attempt;
     private final UpstreamDefinition upstream;
     private final Consumer<LifecycleEvent> events;
     private final long sentAtMillis = dependencies.clock().millis();
 
-    WholeListener(int attempt, UpstreamDefinition upstream, Consumer<LifecycleEvent> events) {
+    BufferingListener(int attempt, UpstreamDefinition upstream, Consumer<LifecycleEvent> events) {
       this.attempt = attempt;
       this.upstream = upstream;
       this.events = events;
@@ -275,12 +281,12 @@
       return body;
     }
 
-    void tell(LifecycleEvent event) {
+    void emit(LifecycleEvent event) {
       events.accept(event);
     }
 
-    void alive() {
-      heardOf(upstream, sentAtMillis);
+    void reportResponse() {
+      upstreamResponded(upstream, sentAtMillis);
     }
 
     /** What another upstream says that has this address now is not said by the one meant. */
@@ -292,7 +298,7 @@
       }
     }
 
-    long tookMillis() {
+    long elapsedMillis() {
       return dependencies.clock().millis() - sentAtMillis;
     }
 
@@ -306,11 +312,11 @@
       if (failure == UpstreamFailure.CONNECT_FAILED) {
         dependencies.liveness().connectionFailed(upstream.name());
       }
-      tell(new LifecycleEvent.UpstreamFailed(attempt, upstream.name(), failure));
+      emit(new LifecycleEvent.UpstreamFailed(attempt, upstream.name(), failure));
     }
   }
 
-  private final class PrefillListener extends WholeListener {
+  private final class PrefillListener extends BufferingListener {
     private ResponseDisposition disposition = ResponseDisposition.UNKNOWN;
 
     PrefillListener(
@@ -322,7 +328,7 @@
 
     @Override
     public boolean head(int status, MultiMap headers) {
-      alive();
+      reportResponse();
       disposition =
           dependencies
               .protocol()
@@ -348,30 +354,30 @@
       handles.put(
           attempt(),
           new KvLocation(upstream().address(), upstream().port(), prefilled.get().handle()));
-      tell(
+      emit(
           new LifecycleEvent.Prefilled(
               attempt(),
               prefilled.get().handle(),
               prefilled.get().tokens(),
               0,
-              tookMillis(),
+              elapsedMillis(),
               dependencies.handleLifetimeMillis().apply(upstream().service())));
     }
   }
 
-  private final class AnswerListener extends WholeListener {
-    private Head head = new Head(0, MultiMap.caseInsensitiveMultiMap());
+  private final class ResponseListener extends BufferingListener {
+    private ResponseHead head = new ResponseHead(0, MultiMap.caseInsensitiveMultiMap());
     private ResponseDisposition disposition = ResponseDisposition.UNKNOWN;
-    private final EventSplitter events = new EventSplitter();
+    private final EventSplitter splitter = new EventSplitter();
     private int lastIndex = -1;
 
-    AnswerListener(int attempt, UpstreamDefinition upstream, Consumer<LifecycleEvent> lifecycle) {
+    ResponseListener(int attempt, UpstreamDefinition upstream, Consumer<LifecycleEvent> lifecycle) {
       super(attempt, upstream, lifecycle);
     }
 
     @Override
     public boolean head(int status, MultiMap headers) {
-      alive();
+      reportResponse();
       disposition =
           dependencies
               .protocol()
@@ -381,7 +387,7 @@
         return false;
       }
       recordFeedback(disposition, status, headers);
-      head = new Head(status, dependencies.protocol().returnedHeaders(headers));
+      head = new ResponseHead(status, dependencies.protocol().returnedHeaders(headers));
       return true;
     }
 
@@ -392,7 +398,7 @@
         return;
       }
       try {
-        events.take(bytes).forEach(this::event);
+        splitter.split(bytes).forEach(this::event);
       } catch (NumberFormatException malformed) {
         failed(UpstreamFailure.MALFORMED);
       }
@@ -406,7 +412,7 @@
       } else if (isStream()) {
         endStream();
       } else {
-        endWhole();
+        endBuffered();
       }
     }
 
@@ -419,28 +425,28 @@
         streamHead = Optional.of(head);
       }
       lastIndex = event.id() - request.parameters().resumeAfter() - 1;
-      tell(new LifecycleEvent.TokenArrived(profile.id(), attempt(), lastIndex, event.text()));
+      emit(new LifecycleEvent.TokenArrived(profile.id(), attempt(), lastIndex, event.text()));
     }
 
     private void endStream() {
-      if (events.isBroken() || lastIndex < 0) {
+      if (splitter.hasIncompleteEvent() || lastIndex < 0) {
         failed(UpstreamFailure.CUT);
         return;
       }
-      tell(
+      emit(
           new LifecycleEvent.StreamFinished(
               profile.id(), attempt(), lastIndex + 1, "stop", profile.promptTokens(), 0));
     }
 
-    private void endWhole() {
-      answers.put(attempt(), new PlainResponse(head.status(), head.headers(), body()));
+    private void endBuffered() {
+      responses.put(attempt(), new PlainResponse(head.status(), head.headers(), body()));
       if (!streaming) {
-        dependencies.plainResponseTimes().accept(upstream().service(), tookMillis());
+        dependencies.plainResponseTimes().accept(upstream().service(), elapsedMillis());
       }
       if (disposition == ResponseDisposition.SERVED && !streaming) {
-        tell(new LifecycleEvent.PlainResponseReceived(attempt()));
+        emit(new LifecycleEvent.PlainResponseReceived(attempt()));
       } else if (disposition == ResponseDisposition.FAILED) {
-        tell(new LifecycleEvent.FailureResponseReceived(attempt()));
+        emit(new LifecycleEvent.FailureResponseReceived(attempt()));
       } else {
         failed(UpstreamFailure.MALFORMED);
       }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -39,10 +39,10 @@
 public final class ForwardServer {
 
   /** Longer than callers keep an idle connection, so that this side never closes first. */
-  private static final long LONGEST_IDLE_MILLIS = 60_000;
+  private static final long IDLE_TIMEOUT_MILLIS = 60_000;
 
-  private static final int LONGEST_HEAD_BYTES = 64 * 1024;
-  private static final long LONGEST_BODY_BYTES = 64L << 20;
+  private static final int MAXIMUM_HEAD_BYTES = 64 * 1024;
+  private static final long MAXIMUM_BODY_BYTES = 64L << 20;
   private static final int BACKLOG = 1_024;
 
   /** A colon, a space and the end of the line. */
@@ -98,12 +98,15 @@
             .setAcceptBacklog(BACKLOG)
             .setTcpNoDelay(true)
             .setTcpKeepAlive(true)
-            .setMaxHeaderSize(LONGEST_HEAD_BYTES)
-            .setMaxInitialLineLength(LONGEST_HEAD_BYTES)
-            .setIdleTimeout(Math.toIntExact(LONGEST_IDLE_MILLIS))
+            .setMaxHeaderSize(MAXIMUM_HEAD_BYTES)
+            .setMaxInitialLineLength(MAXIMUM_HEAD_BYTES)
+            .setIdleTimeout(Math.toIntExact(IDLE_TIMEOUT_MILLIS))
             .setIdleTimeoutUnit(TimeUnit.MILLISECONDS);
     server =
-        vertx.createHttpServer(options).connectionHandler(this::opened).requestHandler(this::take);
+        vertx
+            .createHttpServer(options)
+            .connectionHandler(this::opened)
+            .requestHandler(this::receive);
     return server.listen().map(HttpServer::actualPort);
   }
 
@@ -146,7 +149,7 @@
         });
   }
 
-  private void take(HttpServerRequest request) {
+  private void receive(HttpServerRequest request) {
     long receivedAtMillis = dependencies.clock().millis();
     busy.add(request.connection());
     request.response().exceptionHandler(ignored -> {});
@@ -172,9 +175,10 @@
       reject(request, parameters, access.refusal().get());
       return;
     }
-    Arrival arrival =
-        new Arrival(request, parameters, route.get(), access.organisation(), receivedAtMillis);
-    readBody(arrival, routing.limits());
+    AcceptedRequest accepted =
+        new AcceptedRequest(
+            request, parameters, route.get(), access.organisation(), receivedAtMillis);
+    readBody(accepted, routing.limits());
   }
 
   private Optional<Refusal> refusalOf(HttpServerRequest request) {
@@ -191,17 +195,17 @@
               500));
     }
     int headBytes = headBytes(request);
-    int mostHeadBytes = routing.get().limits().headerBytes();
-    if (headBytes > mostHeadBytes) {
+    int maximumHeadBytes = routing.get().limits().headerBytes();
+    if (headBytes > maximumHeadBytes) {
       return Optional.of(
           Refusal.notRun(
               RefusalReason.HEADERS_TOO_LARGE,
-              "The head has " + headBytes + " bytes; allowed: " + mostHeadBytes + "."));
+              "The head has " + headBytes + " bytes; allowed: " + maximumHeadBytes + "."));
     }
-    long most = routing.get().limits().bodyBytes();
-    long stated = statedLength(request);
-    if (stated > most) {
-      return Optional.of(tooLarge(stated, most));
+    long maximum = routing.get().limits().bodyBytes();
+    long declared = declaredLength(request);
+    if (declared > maximum) {
+      return Optional.of(tooLarge(declared, maximum));
     }
     return Optional.empty();
   }
@@ -214,15 +218,16 @@
     return bytes;
   }
 
-  private static Refusal tooLarge(long bytes, long most) {
+  private static Refusal tooLarge(long bytes, long maximum) {
     return Refusal.notRun(
-        RefusalReason.BODY_TOO_LARGE, "The body has " + bytes + " bytes; allowed: " + most + ".");
+        RefusalReason.BODY_TOO_LARGE,
+        "The body has " + bytes + " bytes; allowed: " + maximum + ".");
   }
 
-  private static long statedLength(HttpServerRequest request) {
-    String stated = request.getHeader("content-length");
+  private static long declaredLength(HttpServerRequest request) {
+    String declared = request.getHeader("content-length");
     try {
-      return stated == null ? -1 : Long.parseLong(stated.strip());
+      return declared == null ? -1 : Long.parseLong(declared.strip());
     } catch (NumberFormatException malformed) {
       return -1;
     }
@@ -232,25 +237,25 @@
     return Optional.ofNullable(request.getHeader("host")).orElse("");
   }
 
-  private void readBody(Arrival arrival, CallerLimits bounds) {
-    HttpServerRequest request = arrival.request();
-    long most = Math.min(LONGEST_BODY_BYTES, bounds.bodyBytes());
+  private void readBody(AcceptedRequest accepted, CallerLimits bounds) {
+    HttpServerRequest request = accepted.request();
+    long maximum = Math.min(MAXIMUM_BODY_BYTES, bounds.bodyBytes());
     Buffer body = Buffer.buffer();
     request.handler(
         bytes -> {
           body.appendBuffer(bytes);
-          if (body.length() > most) {
+          if (body.length() > maximum) {
             request.handler(ignored -> {});
             request.endHandler(ignored -> {});
-            reject(request, arrival.parameters(), tooLarge(body.length(), most));
+            reject(request, accepted.parameters(), tooLarge(body.length(), maximum));
           }
         });
-    request.endHandler(ended -> register(arrival, body));
+    request.endHandler(ended -> register(accepted, body));
   }
 
-  private void register(Arrival arrival, Buffer body) {
-    HttpServerRequest request = arrival.request();
-    Route route = arrival.route();
+  private void register(AcceptedRequest accepted, Buffer body) {
+    HttpServerRequest request = accepted.request();
+    Route route = accepted.route();
     if (request.response().closed()) {
       return;
     }
@@ -266,9 +271,9 @@
             dependencies.protocol().forwardedHeaders(request.headers()),
             body,
             hasBody,
-            arrival.parameters(),
-            arrival.organisation().map(OrganisationDefinition::name));
-    RequestProfile profile = profileOf(forwarded, arrival);
+            accepted.parameters(),
+            accepted.organisation().map(OrganisationDefinition::name));
+    RequestProfile profile = profileOf(forwarded, accepted);
     boolean streaming = route.streaming();
     ForwardExchange exchange =
         new ForwardExchange(exchangeDependencies, forwarded, profile, request, streaming);
@@ -290,10 +295,10 @@
     request.response().closeHandler(closed -> handle.callerDisconnected());
   }
 
-  private RequestProfile profileOf(ForwardedRequest request, Arrival arrival) {
-    CallerParameters parameters = arrival.parameters();
-    Route route = arrival.route();
-    long receivedAtMillis = arrival.receivedAtMillis();
+  private RequestProfile profileOf(ForwardedRequest request, AcceptedRequest accepted) {
+    CallerParameters parameters = accepted.parameters();
+    Route route = accepted.route();
+    long receivedAtMillis = accepted.receivedAtMillis();
     boolean generation = route.streaming() && parameters.promptTokens() > 0;
     String service = route.serviceFor(Fingerprint.of(parameters.attempt(), new byte[0]));
     int outputTokens =
@@ -320,7 +325,7 @@
         ForwardingRules.targetAtMillis(route, receivedAtMillis),
         ForwardingRules.deadlineAtMillis(route, receivedAtMillis, parameters.timeoutMillis()),
         new StreamChunking(dependencies.tokensPerEvent().apply(service), route.gapTargetMillis()),
-        arrival
+        accepted
             .organisation()
             .map(
                 holder ->
@@ -329,7 +334,7 @@
   }
 
   /** A request whose head was accepted. */
-  private record Arrival(
+  private record AcceptedRequest(
       HttpServerRequest request,
       CallerParameters parameters,
       Route route,
@@ -350,8 +355,8 @@
   /** Refuses before the body is read; a connection with an unread body is not used again. */
   private void reject(HttpServerRequest request, CallerParameters parameters, Refusal refusal) {
     dependencies.refused().accept(refusal);
-    boolean unread = !request.isEnded() && mayHaveBody(request);
-    if (unread) {
+    boolean hasUnreadBody = !request.isEnded() && mayHaveBody(request);
+    if (hasUnreadBody) {
       request.response().putHeader("connection", "close");
     }
     refusals.write(request, parameters.attempt(), refusal);
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/RefusalWriter.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/RefusalWriter.java
@@ -21,8 +21,8 @@
   private static final int NOT_RUN_STATUS = 503;
   private static final int MAY_HAVE_RUN_STATUS = 502;
   private static final int TIMED_OUT_STATUS = 504;
-  private static final int LOWEST_CLIENT_FAULT = 400;
-  private static final int LOWEST_SERVER_FAULT = 500;
+  private static final int FIRST_CLIENT_ERROR = 400;
+  private static final int FIRST_SERVER_ERROR = 500;
   private static final int UNPROCESSABLE_STATUS = 422;
   private static final int TOO_MANY_STATUS = 429;
 
@@ -30,9 +30,9 @@
   private static final long DEFAULT_RETRY_MILLIS = 150;
 
   /** Callers that are refused together come back spread over this share of their wait. */
-  private static final double SPREAD = 0.4;
+  private static final double RETRY_JITTER = 0.4;
 
-  private static final double MILLIS_OF_SECOND = 1_000;
+  private static final double MILLIS_PER_SECOND = 1_000;
 
   private final ForwardingProtocol protocol;
   private final ObjectMapper json;
@@ -72,14 +72,16 @@
   }
 
   private static int statusOf(Refusal refusal) {
-    int own = refusal.reason().httpStatus();
-    boolean callersFault =
-        own >= LOWEST_CLIENT_FAULT && own < LOWEST_SERVER_FAULT && own != UNPROCESSABLE_STATUS;
-    if (callersFault && !refusal.reason().isWorthRetrying()) {
-      return own;
+    int reasonStatus = refusal.reason().httpStatus();
+    boolean isClientError =
+        reasonStatus >= FIRST_CLIENT_ERROR
+            && reasonStatus < FIRST_SERVER_ERROR
+            && reasonStatus != UNPROCESSABLE_STATUS;
+    if (isClientError && !refusal.reason().isWorthRetrying()) {
+      return reasonStatus;
     }
     if (refusal.runState() == RunState.NOT_RUN) {
-      return own == TOO_MANY_STATUS ? own : NOT_RUN_STATUS;
+      return reasonStatus == TOO_MANY_STATUS ? reasonStatus : NOT_RUN_STATUS;
     }
     return refusal.reason() == RefusalReason.DEADLINE_PASSED
         ? TIMED_OUT_STATUS
@@ -88,8 +90,8 @@
 
   private String retryAfter(Refusal refusal) {
     long millis = refusal.retryAfterMillis().orElse(DEFAULT_RETRY_MILLIS);
-    double spread = millis * (1 + SPREAD * random.nextDouble());
-    return String.format(Locale.ROOT, "%.3f", spread / MILLIS_OF_SECOND);
+    double jittered = millis * (1 + RETRY_JITTER * random.nextDouble());
+    return String.format(Locale.ROOT, "%.3f", jittered / MILLIS_PER_SECOND);
   }
 
   private String body(Refusal refusal) {
--- a/daemon/src/test/java/org/marjoramsail/daemon/forward/EventSplitterTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/forward/EventSplitterTest.java
@@ -9,20 +9,21 @@
 
 class EventSplitterTest {
 
-  private static final String TWO = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
+  private static final String TWO_EVENTS = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
 
   @Test
-  void eventsAreCutWhereverTheBytesAreCut() {
-    for (int cut = 0; cut <= TWO.length(); cut++) {
+  void eventsAreCompleteWhereverTheBytesAreSplit() {
+    for (int cut = 0; cut <= TWO_EVENTS.length(); cut++) {
       EventSplitter splitter = new EventSplitter();
-      List<EventSplitter.Event> events = new ArrayList<>(take(splitter, TWO.substring(0, cut)));
-      events.addAll(take(splitter, TWO.substring(cut)));
+      List<EventSplitter.Event> events =
+          new ArrayList<>(split(splitter, TWO_EVENTS.substring(0, cut)));
+      events.addAll(split(splitter, TWO_EVENTS.substring(cut)));
 
       assertThat(events)
           .containsExactly(
               new EventSplitter.Event(1, "id: 1\ndata: a\n\n"),
               new EventSplitter.Event(2, "id: 2\ndata: b\n\n"));
-      assertThat(splitter.isBroken()).isFalse();
+      assertThat(splitter.hasIncompleteEvent()).isFalse();
     }
   }
 
@@ -31,34 +32,34 @@
    * been joined with the first bytes of the server at which the stream went on.
    */
   @Test
-  void halfAnEventIsNotPassedOn() {
+  void anIncompleteEventIsNotReturned() {
     EventSplitter splitter = new EventSplitter();
-    assertThat(take(splitter, "id: 1\ndata: a\n\nid: 2\nda")).hasSize(1);
-    assertThat(splitter.isBroken()).isTrue();
+    assertThat(split(splitter, "id: 1\ndata: a\n\nid: 2\nda")).hasSize(1);
+    assertThat(splitter.hasIncompleteEvent()).isTrue();
   }
 
   @Test
-  void linesBeforeTheNumberBelongToItsEvent() {
+  void linesBeforeTheIdBelongToItsEvent() {
     EventSplitter splitter = new EventSplitter();
-    String versioned = "weight-versions: 2\nid: 7\ndata: a\n\n";
-    assertThat(take(splitter, versioned)).containsExactly(new EventSplitter.Event(7, versioned));
+    String text = "weight-versions: 2\nid: 7\ndata: a\n\n";
+    assertThat(split(splitter, text)).containsExactly(new EventSplitter.Event(7, text));
   }
 
   @Test
-  void aBlockWithoutANumberGoesWithTheNextEvent() {
+  void aBlockWithoutAnIdIsJoinedToTheNextEvent() {
     EventSplitter splitter = new EventSplitter();
     String text = ": hello\n\nid: 1\ndata: a\n\n";
-    assertThat(take(splitter, text)).containsExactly(new EventSplitter.Event(1, text));
+    assertThat(split(splitter, text)).containsExactly(new EventSplitter.Event(1, text));
   }
 
   @Test
-  void carriageReturnsMayEndLines() {
+  void linesMayEndWithCarriageReturnAndLineFeed() {
     EventSplitter splitter = new EventSplitter();
     String text = "id: 1\r\ndata: a\r\n\r\n";
-    assertThat(take(splitter, text)).containsExactly(new EventSplitter.Event(1, text));
+    assertThat(split(splitter, text)).containsExactly(new EventSplitter.Event(1, text));
   }
 
-  private static List<EventSplitter.Event> take(EventSplitter splitter, String text) {
-    return splitter.take(Buffer.buffer(text));
+  private static List<EventSplitter.Event> split(EventSplitter splitter, String text) {
+    return splitter.split(Buffer.buffer(text));
   }
 }
