--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/BufferedResponseSink.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/BufferedResponseSink.java
@@ -35,15 +35,15 @@
   }
 
   @Override
-  public void token(int index, String part) {
-    text.append(part);
+  public void token(int index, String chunk) {
+    text.append(chunk);
   }
 
   @Override
   public void complete(Completion completion) {
     if (!response.ended() && !response.closed()) {
       response.putHeader("content-type", "application/json");
-      response.end(format.whole(json, request, model, text.toString(), completion).toString());
+      response.end(format.response(json, request, model, text.toString(), completion).toString());
     }
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CompletionFormat.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CompletionFormat.java
@@ -21,12 +21,12 @@
     }
 
     @Override
-    void putWhole(ObjectNode choice, String text) {
+    void putText(ObjectNode choice, String text) {
       choice.put("text", text);
     }
 
     @Override
-    void putPart(ObjectNode choice, String text) {
+    void putChunk(ObjectNode choice, String text) {
       choice.put("text", text);
     }
   },
@@ -57,12 +57,12 @@
     }
 
     @Override
-    void putWhole(ObjectNode choice, String text) {
+    void putText(ObjectNode choice, String text) {
       choice.putObject("message").put("role", "assistant").put("content", text);
     }
 
     @Override
-    void putPart(ObjectNode choice, String text) {
+    void putChunk(ObjectNode choice, String text) {
       ObjectNode delta = choice.putObject("delta");
       if (!text.isEmpty()) {
         delta.put("content", text);
@@ -71,13 +71,13 @@
   };
 
   private final String path;
-  private final String wholeObject;
-  private final String partObject;
+  private final String responseObject;
+  private final String chunkObject;
 
-  CompletionFormat(String path, String wholeObject, String partObject) {
+  CompletionFormat(String path, String responseObject, String chunkObject) {
     this.path = path;
-    this.wholeObject = wholeObject;
-    this.partObject = partObject;
+    this.responseObject = responseObject;
+    this.chunkObject = chunkObject;
   }
 
   /** The path on which callers ask in this format. */
@@ -88,41 +88,41 @@
   /** Reads the prompt of a request body. */
   abstract String prompt(JsonNode body) throws RejectedRequestException;
 
-  abstract void putWhole(ObjectNode choice, String text);
+  abstract void putText(ObjectNode choice, String text);
 
-  abstract void putPart(ObjectNode choice, String text);
+  abstract void putChunk(ObjectNode choice, String text);
 
-  /** The whole answer. */
-  ObjectNode whole(
+  /** The whole response. */
+  ObjectNode response(
       ObjectMapper json, RequestId request, String model, String text, Completion completion) {
-    ObjectNode answer = head(json, request, model, wholeObject);
-    ObjectNode choice = answer.putArray("choices").addObject().put("index", 0);
-    putWhole(choice, text);
+    ObjectNode response = head(json, request, model, responseObject);
+    ObjectNode choice = response.putArray("choices").addObject().put("index", 0);
+    putText(choice, text);
     choice.put("finish_reason", completion.finishReason());
-    ObjectNode usage = answer.putObject("usage");
+    ObjectNode usage = response.putObject("usage");
     usage.put("prompt_tokens", completion.promptTokens());
     usage.put("completion_tokens", completion.outputTokens());
     usage.put("total_tokens", completion.promptTokens() + completion.outputTokens());
     usage.putObject("prompt_tokens_details").put("cached_tokens", completion.cachedTokens());
-    return answer;
+    return response;
   }
 
-  /** One token of a streamed answer. */
-  ObjectNode part(ObjectMapper json, RequestId request, String model, String text) {
-    ObjectNode answer = head(json, request, model, partObject);
-    ObjectNode choice = answer.putArray("choices").addObject().put("index", 0);
-    putPart(choice, text);
+  /** One token of a streamed response. */
+  ObjectNode chunk(ObjectMapper json, RequestId request, String model, String text) {
+    ObjectNode response = head(json, request, model, chunkObject);
+    ObjectNode choice = response.putArray("choices").addObject().put("index", 0);
+    putChunk(choice, text);
     choice.putNull("finish_reason");
-    return answer;
+    return response;
   }
 
-  /** The last event of a whole streamed answer. */
-  ObjectNode lastPart(ObjectMapper json, RequestId request, String model, String finishReason) {
-    ObjectNode answer = head(json, request, model, partObject);
-    ObjectNode choice = answer.putArray("choices").addObject().put("index", 0);
-    putPart(choice, "");
+  /** The last event of a whole streamed response. */
+  ObjectNode lastChunk(ObjectMapper json, RequestId request, String model, String finishReason) {
+    ObjectNode response = head(json, request, model, chunkObject);
+    ObjectNode choice = response.putArray("choices").addObject().put("index", 0);
+    putChunk(choice, "");
     choice.put("finish_reason", finishReason);
-    return answer;
+    return response;
   }
 
   private static ObjectNode head(
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/StreamSink.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/StreamSink.java
@@ -68,7 +68,7 @@
       response.putHeader("content-type", "text/event-stream");
       response.putHeader("cache-control", "no-cache");
     }
-    write("data: " + format.part(json, request, model, text) + "\n\n");
+    write("data: " + format.chunk(json, request, model, text) + "\n\n");
   }
 
   @Override
@@ -77,7 +77,7 @@
       response.setChunked(true);
       response.putHeader("content-type", "text/event-stream");
     }
-    write("data: " + format.lastPart(json, request, model, completion.finishReason()) + "\n\n");
+    write("data: " + format.lastChunk(json, request, model, completion.finishReason()) + "\n\n");
     write("data: [DONE]\n\n");
     finish();
   }
