--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/BufferedResponseSink.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/BufferedResponseSink.java
@@ -48,13 +48,13 @@
   }
 
   @Override
-  public void answer(PlainResponse answer) {
+  public void answer(PlainResponse plainResponse) {
     if (!response.ended() && !response.closed()) {
-      response.setStatusCode(answer.status());
-      answer
+      response.setStatusCode(plainResponse.status());
+      plainResponse
           .headers()
           .forEach(header -> response.headers().add(header.getKey(), header.getValue()));
-      response.end(answer.body());
+      response.end(plainResponse.body());
     }
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHandler.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHandler.java
@@ -71,12 +71,12 @@
   /**
    * Refuses a request before anything of it is read.
    *
-   * @param closing whether its connection is closed afterwards
+   * @param closeConnection whether its connection is closed afterwards
    */
-  void refuse(HttpServerRequest request, Refusal refusal, boolean closing) {
+  void refuse(HttpServerRequest request, Refusal refusal, boolean closeConnection) {
     RequestId id = ids.next();
     request.response().putHeader("marjoramsail-request", id.value());
-    reject(request, id, refusal, closing || !request.isEnded());
+    reject(request, id, refusal, closeConnection || !request.isEnded());
   }
 
   private Configuration newestConfiguration() throws RejectedRequestException {
@@ -174,9 +174,11 @@
    * A repeat with a key that this daemon cannot take now may have run for an earlier request, which
    * nobody has looked up; a request that would be refused at any time was never taken in before.
    */
-  private static Refusal truthful(HttpServerRequest request, Refusal refusal) {
-    boolean keyed = request.headers().contains(CallerHeaders.KEY);
-    return keyed && refusal.reason().isWorthRetrying() ? refusal.withUnknownRunState() : refusal;
+  private static Refusal adjustRunState(HttpServerRequest request, Refusal refusal) {
+    boolean hasIdempotencyKey = request.headers().contains(CallerHeaders.IDEMPOTENCY_KEY);
+    return hasIdempotencyKey && refusal.reason().isWorthRetrying()
+        ? refusal.withUnknownRunState()
+        : refusal;
   }
 
   private void reject(HttpServerRequest request, RequestId id, Refusal refusal) {
@@ -184,15 +186,16 @@
   }
 
   /** Refuses; what is left of a body is not read, so that its connection cannot be used again. */
-  private void reject(HttpServerRequest request, RequestId id, Refusal found, boolean closing) {
-    Refusal refusal = truthful(request, found);
+  private void reject(
+      HttpServerRequest request, RequestId id, Refusal found, boolean closeConnection) {
+    Refusal refusal = adjustRunState(request, found);
     dependencies.metrics().refused(refusal);
     HttpServerResponse response = request.response();
-    if (closing) {
+    if (closeConnection) {
       response.putHeader("connection", "close");
     }
     Future<Void> written = problems.write(response, id, refusal);
-    if (closing) {
+    if (closeConnection) {
       written.onComplete(done -> request.connection().close());
     }
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHeaders.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHeaders.java
@@ -12,7 +12,7 @@
  */
 record CallerHeaders(Optional<String> idempotencyKey, Optional<Long> deadlineMillis) {
 
-  static final String KEY = "idempotency-key";
+  static final String IDEMPOTENCY_KEY = "idempotency-key";
   private static final String DEADLINE = "marjoramsail-deadline-millis";
   private static final int MAXIMUM_KEY_CHARACTERS = 255;
 
@@ -21,9 +21,9 @@
   }
 
   private static Optional<String> key(HttpServerRequest request) throws RejectedRequestException {
-    String key = request.getHeader(KEY);
+    String key = request.getHeader(IDEMPOTENCY_KEY);
     if (key != null && (key.isBlank() || key.length() > MAXIMUM_KEY_CHARACTERS)) {
-      throw wrong(KEY, key, "1 to " + MAXIMUM_KEY_CHARACTERS + " characters");
+      throw invalid(IDEMPOTENCY_KEY, key, "1 to " + MAXIMUM_KEY_CHARACTERS + " characters");
     }
     return Optional.ofNullable(key);
   }
@@ -40,12 +40,12 @@
         return Optional.of(millis);
       }
     } catch (NumberFormatException notNumber) {
-      throw wrong(DEADLINE, value, "a whole number of milliseconds above zero");
+      throw invalid(DEADLINE, value, "a whole number of milliseconds above zero");
     }
-    throw wrong(DEADLINE, value, "a whole number of milliseconds above zero");
+    throw invalid(DEADLINE, value, "a whole number of milliseconds above zero");
   }
 
-  private static RejectedRequestException wrong(String header, String value, String allowed) {
+  private static RejectedRequestException invalid(String header, String value, String allowed) {
     return new RejectedRequestException(
         RefusalReason.MALFORMED_REQUEST,
         "The header " + header + " is \"" + value + "\"; allowed: " + allowed + ".");
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerRoute.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerRoute.java
@@ -57,7 +57,8 @@
     String rest = path.substring(SERVICES.length());
     int slash = rest.indexOf('/');
     String service = slash < 0 ? rest : rest.substring(0, slash);
-    String below = slash < 0 ? "/" : rest.substring(slash);
-    return new Plain(service, below, query == null ? below : below + "?" + query);
+    String pathInService = slash < 0 ? "/" : rest.substring(slash);
+    return new Plain(
+        service, pathInService, query == null ? pathInService : pathInService + "?" + query);
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CompletionFormat.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CompletionFormat.java
@@ -15,7 +15,7 @@
     String prompt(JsonNode body) throws RejectedRequestException {
       JsonNode prompt = body.path("prompt");
       if (!prompt.isTextual() || prompt.textValue().isBlank()) {
-        throw CompletionParser.wrong("prompt", prompt, "a string that is not blank");
+        throw CompletionParser.invalid("prompt", prompt, "a string that is not blank");
       }
       return prompt.textValue();
     }
@@ -35,7 +35,7 @@
     String prompt(JsonNode body) throws RejectedRequestException {
       JsonNode messages = body.path("messages");
       if (!messages.isArray() || messages.isEmpty()) {
-        throw CompletionParser.wrong("messages", messages, "an array with at least one message");
+        throw CompletionParser.invalid("messages", messages, "an array with at least one message");
       }
       List<String> lines = new ArrayList<>();
       for (JsonNode message : messages) {
@@ -48,10 +48,10 @@
       JsonNode role = message.path("role");
       JsonNode content = message.path("content");
       if (!role.isTextual()) {
-        throw CompletionParser.wrong("messages[].role", role, "a string");
+        throw CompletionParser.invalid("messages[].role", role, "a string");
       }
       if (!content.isTextual()) {
-        throw CompletionParser.wrong("messages[].content", content, "a string");
+        throw CompletionParser.invalid("messages[].content", content, "a string");
       }
       return role.textValue() + ": " + content.textValue();
     }
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CompletionParser.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CompletionParser.java
@@ -9,7 +9,7 @@
 /** Reads the JSON of completions; each refusal names the field, the value and what is allowed. */
 final class CompletionParser {
 
-  private static final int QUOTED_CHARACTERS = 80;
+  private static final int MAXIMUM_QUOTED_CHARACTERS = 80;
 
   private final ObjectMapper json;
   private final CallerLimits limits;
@@ -23,7 +23,7 @@
     JsonNode body = read(bytes);
     JsonNode model = body.path("model");
     if (!model.isTextual() || model.textValue().isBlank()) {
-      throw wrong("model", model, "the name of a service");
+      throw invalid("model", model, "the name of a service");
     }
     return new CompletionCall(
         model.textValue(), format.prompt(body), maximumTokens(body), streamed(body));
@@ -39,7 +39,7 @@
           "The body is not JSON (" + firstLine(malformed.getMessage()) + "); allowed: an object.");
     }
     if (!body.isObject()) {
-      throw wrong("body", body, "an object");
+      throw invalid("body", body, "an object");
     }
     return body;
   }
@@ -56,7 +56,7 @@
             && value.intValue() >= 1
             && value.intValue() <= limits.maximumOutputTokens();
     if (!allowed) {
-      throw wrong(field, value, "an integer from 1 to " + limits.maximumOutputTokens());
+      throw invalid(field, value, "an integer from 1 to " + limits.maximumOutputTokens());
     }
     return value.intValue();
   }
@@ -67,22 +67,22 @@
       return false;
     }
     if (!value.isBoolean()) {
-      throw wrong("stream", value, "true or false");
+      throw invalid("stream", value, "true or false");
     }
     return value.booleanValue();
   }
 
-  static RejectedRequestException wrong(String field, JsonNode value, String allowed) {
-    String quoted = value.isMissingNode() ? "missing" : shortened(value.toString());
+  static RejectedRequestException invalid(String field, JsonNode value, String allowed) {
+    String quotedValue = value.isMissingNode() ? "missing" : shortened(value.toString());
     return new RejectedRequestException(
         RefusalReason.MALFORMED_REQUEST,
-        "The field " + field + " is " + quoted + "; allowed: " + allowed + ".");
+        "The field " + field + " is " + quotedValue + "; allowed: " + allowed + ".");
   }
 
   private static String shortened(String value) {
-    return value.length() <= QUOTED_CHARACTERS
+    return value.length() <= MAXIMUM_QUOTED_CHARACTERS
         ? value
-        : value.substring(0, QUOTED_CHARACTERS) + "...";
+        : value.substring(0, MAXIMUM_QUOTED_CHARACTERS) + "...";
   }
 
   private static String firstLine(String message) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/ConnectionGuard.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/ConnectionGuard.java
@@ -25,7 +25,7 @@
 
   private static final class State {
     private final boolean overLimit;
-    private int running;
+    private int activeRequests;
     private long timer = NO_TIMER;
 
     private State(boolean overLimit) {
@@ -64,13 +64,13 @@
       return true;
     }
     disarm(state);
-    state.running++;
+    state.activeRequests++;
     request
         .response()
         .endHandler(
             ended -> {
-              state.running--;
-              if (state.running == 0) {
+              state.activeRequests--;
+              if (state.activeRequests == 0) {
                 arm(connection, state);
               }
             });
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/ProblemWriter.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/ProblemWriter.java
@@ -46,9 +46,9 @@
 
   /** Seconds, rounded up; zero when coming back does not help or could run the request twice. */
   private static long retryAfterSeconds(Refusal refusal) {
-    boolean harmless =
+    boolean isRetryHarmless =
         refusal.runState() == RunState.NOT_RUN || refusal.retryAfterMillis().isPresent();
-    if (!harmless || !refusal.reason().isWorthRetrying()) {
+    if (!isRetryHarmless || !refusal.reason().isWorthRetrying()) {
       return 0;
     }
     long millis = refusal.retryAfterMillis().orElse(MILLIS_PER_SECOND);
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/RequestFactory.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/RequestFactory.java
@@ -77,8 +77,9 @@
     RuleDefinition rule = RuleMatcher.match(arrival.configuration(), service, method, route.path());
     RequestContent content =
         new RequestContent.Plain(method, route.pathAndQuery(), request.headers(), body);
-    Buffer whole = Buffer.buffer(method + " " + route.pathAndQuery() + "\n").appendBuffer(body);
-    long fingerprint = Fingerprint.of(service.name(), whole.getBytes());
+    Buffer fingerprinted =
+        Buffer.buffer(method + " " + route.pathAndQuery() + "\n").appendBuffer(body);
+    long fingerprint = Fingerprint.of(service.name(), fingerprinted.getBytes());
     return prepared(arrival, service, rule, content, "", 0, fingerprint);
   }
 
@@ -141,11 +142,11 @@
   private static ServiceDefinition service(Arrival arrival, String name, ServiceKind kind)
       throws RejectedRequestException {
     Optional<ServiceDefinition> service =
-        arrival.configuration().service(name).filter(known -> known.kind() == kind);
+        arrival.configuration().service(name).filter(candidate -> candidate.kind() == kind);
     if (service.isEmpty()) {
       List<String> allowed =
           arrival.configuration().services().stream()
-              .filter(known -> known.kind() == kind)
+              .filter(candidate -> candidate.kind() == kind)
               .map(ServiceDefinition::name)
               .toList();
       throw new RejectedRequestException(
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/RuleMatcher.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/RuleMatcher.java
@@ -30,7 +30,7 @@
   }
 
   private static boolean isMatch(RuleDefinition rule, String method, String path) {
-    return rule.method().map(wanted -> wanted.equalsIgnoreCase(method)).orElse(true)
+    return rule.method().map(requiredMethod -> requiredMethod.equalsIgnoreCase(method)).orElse(true)
         && rule.pathPrefix().map(path::startsWith).orElse(true);
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/StreamSink.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/StreamSink.java
@@ -33,7 +33,7 @@
   private final ObjectMapper json;
   private final ProblemWriter problems;
   private final CallerLimits limits;
-  private final Consumer<Refusal> tooSlow;
+  private final Consumer<Refusal> slowReaderListener;
   private long bufferedBytes;
   private long stallTimer = NO_TIMER;
   private boolean ended;
@@ -48,7 +48,7 @@
       ObjectMapper json,
       ProblemWriter problems,
       CallerLimits limits,
-      Consumer<Refusal> tooSlow) {
+      Consumer<Refusal> slowReaderListener) {
     this.vertx = vertx;
     this.connection = connection;
     this.response = response;
@@ -58,7 +58,7 @@
     this.json = json;
     this.problems = problems;
     this.limits = limits;
-    this.tooSlow = tooSlow;
+    this.slowReaderListener = slowReaderListener;
   }
 
   @Override
@@ -83,7 +83,7 @@
   }
 
   @Override
-  public void answer(PlainResponse answer) {
+  public void answer(PlainResponse plainResponse) {
     throw new IllegalStateException("A plain service does not answer a completion.");
   }
 
@@ -131,7 +131,7 @@
   private void endSlowReader(String detail) {
     ended = true;
     cancelTimer();
-    tooSlow.accept(
+    slowReaderListener.accept(
         Refusal.unknown(RefusalReason.SLOW_READER, detail + limits.maximumBufferedBytes() + "."));
   }
 
