--- a/daemon/src/test/java/org/marjoramsail/daemon/caller/CallerDefenceTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/caller/CallerLimitsTest.java
@@ -25,7 +25,7 @@
 import org.marjoramsail.daemon.fixture.FakeEngine;
 import org.marjoramsail.daemon.fixture.Waits;
 
-final class CallerDefenceTest {
+final class CallerLimitsTest {
 
   private static final CallerLimits LIMITS =
       new CallerLimits(4, 2_048, 4_096, 300, 300, 64 * 1024, 300, 1_000_000, 16);
@@ -34,7 +34,7 @@
    * Longer than any wait of these tests: on a busy machine the engine of a reader that takes
    * nothing gave no token for a second, was given up, and the reader was refused for that instead.
    */
-  private static final long ENGINE_SILENCE_MILLIS = 60_000;
+  private static final long ENGINE_TIMEOUT_MILLIS = 60_000;
 
   private final Vertx vertx = Vertx.vertx();
   private final FakeEngine decode = new FakeEngine(vertx, "decode-1", UpstreamRole.DECODE);
@@ -46,7 +46,7 @@
     decode.start();
     path =
         new CallerPath(
-            vertx, LIMITS, List.of(decode.definition("asistente")), ENGINE_SILENCE_MILLIS);
+            vertx, LIMITS, List.of(decode.definition("asistente")), ENGINE_TIMEOUT_MILLIS);
     callers = new Callers(path.port());
   }
 
@@ -75,20 +75,22 @@
         "{\"model\":\"asistente\",\"prompt\":\"a\",\"max_tokens\":0}|max_tokens is 0; allowed: an",
         "{\"model\":\"asistente\",\"prompt\":\"a\",\"stream\":\"x\"}|allowed: true or false.",
       })
-  void aMalformedBodyIsRefusedWithFieldValueAndWhatIsAllowed(String body, String detail) {
-    HttpResponse<String> answer = completion(body);
+  void aMalformedBodyIsRefusedWithFieldValueAndAllowedValues(String body, String detail) {
+    HttpResponse<String> response = completion(body);
 
-    assertThat(answer.statusCode()).isEqualTo(400);
-    assertThat(answer.headers().firstValue("content-type")).contains("application/problem+json");
-    assertThat(answer.body().replace("\\\"", "\"")).contains(detail).contains("malformed-request");
+    assertThat(response.statusCode()).isEqualTo(400);
+    assertThat(response.headers().firstValue("content-type")).contains("application/problem+json");
+    assertThat(response.body().replace("\\\"", "\""))
+        .contains(detail)
+        .contains("malformed-request");
   }
 
   @Test
-  void anUnknownServiceIsRefusedWithTheServicesThatThereAre() {
-    HttpResponse<String> answer = completion("{\"model\":\"asistent\",\"prompt\":\"a\"}");
+  void anUnknownServiceIsRefusedWithTheExistingServices() {
+    HttpResponse<String> response = completion("{\"model\":\"asistent\",\"prompt\":\"a\"}");
 
-    assertThat(answer.statusCode()).isEqualTo(404);
-    assertThat(answer.body()).contains("allowed: asistente");
+    assertThat(response.statusCode()).isEqualTo(404);
+    assertThat(response.body()).contains("allowed: asistente");
   }
 
   @Test
@@ -105,10 +107,10 @@
 
   /** A daemon runs out of memory: a caller sends a body without end. */
   @Test
-  void aBodyOverTheLimitIsRefusedBeforeItIsReadWhole() {
-    HttpResponse<String> answer = completion("x".repeat(LIMITS.maximumBodyBytes() + 1));
+  void aBodyOverTheLimitIsRefusedBeforeItIsFullyRead() {
+    HttpResponse<String> response = completion("x".repeat(LIMITS.maximumBodyBytes() + 1));
 
-    assertThat(answer.statusCode()).isEqualTo(413);
+    assertThat(response.statusCode()).isEqualTo(413);
     assertThat(path.count("requests.refused", "reason", "body-too-large", "run", "not-run"))
         .isEqualTo(1);
   }
@@ -124,22 +126,22 @@
 
   /** Connections pile up: callers send a head and then their body byte by byte, for ever. */
   @Test
-  void aCallerThatDoesNotSendItsBodyIsRefusedInTime() {
+  void aCallerThatDoesNotSendItsBodyIsRefusedAfterTheTimeout() {
     NetSocket socket = connect();
-    AtomicReference<String> answer = new AtomicReference<>("");
-    socket.handler(bytes -> answer.updateAndGet(text -> text + bytes));
+    AtomicReference<String> response = new AtomicReference<>("");
+    socket.handler(bytes -> response.updateAndGet(text -> text + bytes));
     socket.write(
         "POST /v1/completions HTTP/1.1\r\nhost: a\r\nauthorization: Bearer "
             + CallerPath.TOKEN
             + "\r\ncontent-length: 100\r\n\r\n{");
 
-    Waits.until("a refusal", () -> answer.get().contains("request-timeout"));
-    assertThat(answer.get()).startsWith("HTTP/1.1 408");
+    Waits.until("a refusal", () -> response.get().contains("request-timeout"));
+    assertThat(response.get()).startsWith("HTTP/1.1 408");
   }
 
   /** Connections pile up: callers connect and send no request at all. */
   @Test
-  void aConnectionWithoutARequestIsClosedInTime() {
+  void aConnectionWithoutARequestIsClosedAfterTheTimeout() {
     AtomicBoolean closed = new AtomicBoolean();
     connect().closeHandler(done -> closed.set(true));
 
@@ -154,16 +156,16 @@
     }
     Waits.until(
         "all are open", () -> path.server().openConnections() >= LIMITS.maximumConnections());
-    AtomicReference<String> answer = new AtomicReference<>("");
+    AtomicReference<String> response = new AtomicReference<>("");
     NetSocket socket = connect();
-    socket.handler(bytes -> answer.updateAndGet(text -> text + bytes));
+    socket.handler(bytes -> response.updateAndGet(text -> text + bytes));
     socket.write("GET /v1/completions HTTP/1.1\r\nhost: a\r\n\r\n");
 
-    Waits.until("a refusal", () -> answer.get().contains("connection-limit"));
+    Waits.until("a refusal", () -> response.get().contains("connection-limit"));
   }
 
   /** A caller that asks for many tokens and never reads; its socket takes little. */
-  private Socket silentReader(int tokens) throws IOException {
+  private Socket stalledReader(int tokens) throws IOException {
     Socket socket = new Socket();
     socket.setReceiveBufferSize(4_096);
     socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), path.port()));
@@ -182,12 +184,12 @@
 
   /**
    * One caller that reads nothing fills the daemon's memory and keeps an engine's slot, while all
-   * others wait: its answer piles up without a bound, and the connection is never closed, since the
-   * close waits behind the bytes that nobody reads.
+   * others wait: its response piles up without a bound, and the connection is never closed, since
+   * the close waits behind the bytes that nobody reads.
    */
   @Test
-  void aReaderThatTakesNothingIsEndedAndOthersAreServed() throws IOException {
-    try (Socket reader = silentReader(100_000)) {
+  void aStalledReaderIsDisconnectedAndOtherCallersAreServed() throws IOException {
+    try (Socket reader = stalledReader(100_000)) {
       Waits.until(
           "the reader is ended",
           () -> path.count("requests.refused", "reason", "slow-reader", "run", "unknown") == 1);
@@ -202,12 +204,12 @@
 
   /** An engine's slots fill up with requests of neighbours who have closed the page. */
   @Test
-  void aCallerWhoLeavesFreesTheEngine() {
+  void aDisconnectedCallerFreesTheEngine() {
     decode.then(FakeEngine.Step.STALL_AFTER_THREE);
     NetSocket socket = connect();
     String body = "{\"model\":\"asistente\",\"prompt\":\"a\",\"max_tokens\":9,\"stream\":true}";
-    AtomicReference<String> answer = new AtomicReference<>("");
-    socket.handler(bytes -> answer.updateAndGet(text -> text + bytes));
+    AtomicReference<String> response = new AtomicReference<>("");
+    socket.handler(bytes -> response.updateAndGet(text -> text + bytes));
     socket.write(
         "POST /v1/completions HTTP/1.1\r\nhost: a\r\nauthorization: Bearer "
             + CallerPath.TOKEN
@@ -215,7 +217,7 @@
             + body.length()
             + "\r\n\r\n"
             + body);
-    Waits.until("tokens came", () -> answer.get().contains(FakeEngine.truth(2)));
+    Waits.until("tokens came", () -> response.get().contains(FakeEngine.truth(2)));
     Waits.get(socket.close());
 
     Waits.until("the engine is free", () -> decode.held().isEmpty());
@@ -225,7 +227,7 @@
 
   /** A planned stop cuts off a summary in the middle of its stream. */
   @Test
-  void aStopFinishesWhatRunsAndRefusesWhatIsNew() {
+  void aStopFinishesRunningRequestsAndRefusesNewOnes() {
     path.placement().hold();
     NetSocket socket = connect();
     socket.write(
--- a/daemon/src/test/java/org/marjoramsail/daemon/caller/WholePathTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/caller/CompletionEndToEndTest.java
@@ -15,7 +15,7 @@
 import org.marjoramsail.daemon.fixture.FakeEngine;
 import org.marjoramsail.daemon.fixture.Waits;
 
-final class WholePathTest {
+final class CompletionEndToEndTest {
 
   private final Vertx vertx = Vertx.vertx();
   private FakeEngine prefill;
@@ -41,14 +41,14 @@
   }
 
   @Test
-  void aStreamedCompletionComesThroughPrefillAndDecode() {
-    HttpResponse<String> answer = callers.send(callers.completion("asistente", 4, true));
+  void aStreamedCompletionIsPrefilledAndDecoded() {
+    HttpResponse<String> response = callers.send(callers.completion("asistente", 4, true));
 
-    assertThat(answer.statusCode()).isEqualTo(200);
-    assertThat(answer.headers().firstValue("content-type")).contains("text/event-stream");
+    assertThat(response.statusCode()).isEqualTo(200);
+    assertThat(response.headers().firstValue("content-type")).contains("text/event-stream");
     IntStream.range(0, 4)
-        .forEach(index -> assertThat(answer.body()).containsOnlyOnce(FakeEngine.truth(index)));
-    assertThat(answer.body()).endsWith("data: [DONE]\n\n");
+        .forEach(index -> assertThat(response.body()).containsOnlyOnce(FakeEngine.truth(index)));
+    assertThat(response.body()).endsWith("data: [DONE]\n\n");
     assertThat(prefill.prefills()).hasSize(1);
     assertThat(decode.decodes().get(0).getJsonObject("kv").getString("handle")).isEqualTo("kv-1");
     Waits.until("the request is settled", () -> path.registry().size() == 0);
@@ -56,12 +56,12 @@
   }
 
   @Test
-  void aPlainCompletionComesAsOneDocumentWithItsUsage() {
-    HttpResponse<String> answer = callers.send(callers.completion("asistente", 3, false));
+  void aBufferedCompletionIsOneDocumentWithItsUsage() {
+    HttpResponse<String> response = callers.send(callers.completion("asistente", 3, false));
 
-    assertThat(answer.statusCode()).isEqualTo(200);
-    assertThat(answer.headers().firstValue("marjoramsail-request")).isPresent();
-    assertThat(answer.body())
+    assertThat(response.statusCode()).isEqualTo(200);
+    assertThat(response.headers().firstValue("marjoramsail-request")).isPresent();
+    assertThat(response.body())
         .contains("\"text\":\"" + FakeEngine.truthOf(3) + "\"")
         .contains("\"completion_tokens\":3")
         .contains("\"prompt_tokens\":3");
--- a/daemon/src/test/java/org/marjoramsail/daemon/caller/OutcomeFailureTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/caller/OutcomeFailureTest.java
@@ -70,27 +70,27 @@
    * the retry on another engine starts at the wrong token.
    */
   @Test
-  void aStreamThatIsCutIsResumedElsewhereWithoutGapOrRepeat() {
+  void aBrokenStreamIsResumedOnAnotherEngineWithoutGapOrRepeat() {
     first.then(Step.CUT_AFTER_THREE);
 
-    HttpResponse<String> answer = callers.send(callers.completion("asistente", 6, false));
+    HttpResponse<String> response = callers.send(callers.completion("asistente", 6, false));
 
-    assertThat(answer.body()).contains("\"text\":\"" + FakeEngine.truthOf(6) + "\"");
+    assertThat(response.body()).contains("\"text\":\"" + FakeEngine.truthOf(6) + "\"");
     assertThat(second.decodes().get(0).getInteger("startIndex")).isEqualTo(3);
     assertThat(path.count("retries", "reason", "stream-cut")).isEqualTo(1);
   }
 
   /**
    * A prefill of many seconds is thrown away: the decode engine refuses when it is asked, while the
-   * KV cache still lives, and the retry reads the whole prompt again.
+   * KV cache still lives, and the retry reads the whole prompt repeated.
    */
   @Test
-  void aLivingKvCacheIsPlacedAgainWhenOnlyTheDecodeSideRefused() {
+  void aValidKvCacheIsReusedWhenOnlyTheDecodeEngineRefused() {
     first.then(Step.REFUSE);
 
-    HttpResponse<String> answer = callers.send(callers.completion("asistente", 2, false));
+    HttpResponse<String> response = callers.send(callers.completion("asistente", 2, false));
 
-    assertThat(answer.statusCode()).isEqualTo(200);
+    assertThat(response.statusCode()).isEqualTo(200);
     assertThat(prefill.prefills()).hasSize(1);
     assertThat(path.placement().placed().get(1).kvHeldBy()).contains(new UpstreamName("prefill-1"));
     assertThat(second.decodes().get(0).getJsonObject("kv").getString("handle")).isEqualTo("kv-1");
@@ -98,12 +98,12 @@
 
   /** A caller reads another caller's words: frames arrive crossed, late and twice. */
   @Test
-  void crossedLateAndRepeatedFramesAreDroppedAndCounted() {
+  void framesOfOtherRequestsLateFramesAndRepeatedFramesAreDroppedAndCounted() {
     first.then(Step.MIX_FRAMES);
 
-    HttpResponse<String> answer = callers.send(callers.completion("asistente", 3, false));
+    HttpResponse<String> response = callers.send(callers.completion("asistente", 3, false));
 
-    assertThat(answer.body()).contains("\"text\":\"" + FakeEngine.truthOf(3) + "\"");
+    assertThat(response.body()).contains("\"text\":\"" + FakeEngine.truthOf(3) + "\"");
     assertThat(path.count("drops", "reason", "crossed-frame")).isEqualTo(1);
     assertThat(path.count("drops", "reason", "late-frame")).isEqualTo(1);
     assertThat(path.count("drops", "reason", "repeated-frame")).isEqualTo(3);
@@ -111,29 +111,29 @@
 
   /**
    * A neighbour gets two filing receipts and fears to owe twice: the service ran the request, the
-   * connection broke before the answer, and the router sent it again.
+   * connection broke before the response, and the router sent it repeated.
    */
   @Test
-  void aReceiptWhoseAnswerWasLostIsUnknownAndNeverSentAgain() {
+  void aReceiptWithALostResponseEndsUnknownAndIsNotRetried() {
     plain.then(FakePlainService.Step.RUN_AND_CUT);
 
-    HttpResponse<String> answer = receipt(Optional.empty());
+    HttpResponse<String> response = receipt(Optional.empty());
 
-    assertThat(answer.statusCode()).isEqualTo(502);
-    assertThat(answer.body()).contains("\"run\":\"unknown\"");
-    assertThat(answer.headers().firstValue("retry-after")).isEmpty();
+    assertThat(response.statusCode()).isEqualTo(502);
+    assertThat(response.body()).contains("\"run\":\"unknown\"");
+    assertThat(response.headers().firstValue("retry-after")).isEmpty();
     assertThat(plain.runs() + otherPlain.runs()).isEqualTo(1);
   }
 
   /** A receipt fails although a healthy server stood by: the first said that it had not run it. */
   @Test
-  void aReceiptThatTheServiceSaysItDidNotRunIsSentElsewhere() {
+  void aReceiptThatWasNotRunIsSentToAnotherServer() {
     plain.then(FakePlainService.Step.NOT_RUN);
 
-    HttpResponse<String> answer = receipt(Optional.empty());
+    HttpResponse<String> response = receipt(Optional.empty());
 
-    assertThat(answer.statusCode()).isEqualTo(200);
-    assertThat(answer.body()).isEqualTo("echo filing");
+    assertThat(response.statusCode()).isEqualTo(200);
+    assertThat(response.body()).isEqualTo("echo filing");
     assertThat(otherPlain.runs()).isEqualTo(1);
   }
 
@@ -143,43 +143,43 @@
     plain.stop();
     otherPlain.stop();
 
-    HttpResponse<String> answer = receipt(Optional.empty());
+    HttpResponse<String> response = receipt(Optional.empty());
 
-    assertThat(answer.body()).contains("\"run\":\"not-run\"").contains("no-upstream");
-    assertThat(answer.headers().firstValue("retry-after")).contains("1");
+    assertThat(response.body()).contains("\"run\":\"not-run\"").contains("no-upstream");
+    assertThat(response.headers().firstValue("retry-after")).contains("1");
     assertThat(path.count("retries", "reason", "connect-failed")).isEqualTo(2);
   }
 
   /** A ballot with a key runs twice after a restart: its claim was never recorded anywhere. */
   @Test
-  void aKeyedReceiptIsRefusedTruthfullyWhileThereIsNoStore() {
-    HttpResponse<String> answer = receipt(Optional.of("ballot-7"));
+  void aReceiptWithAnIdempotencyKeyIsRefusedWhileThereIsNoStore() {
+    HttpResponse<String> response = receipt(Optional.of("ballot-7"));
 
-    assertThat(answer.statusCode()).isEqualTo(503);
-    assertThat(answer.body()).contains("store-unavailable").contains("ballot-7");
+    assertThat(response.statusCode()).isEqualTo(503);
+    assertThat(response.body()).contains("store-unavailable").contains("ballot-7");
     assertThat(plain.runs()).isZero();
   }
 
-  /** A status lookup fails although it may run twice: its answer was cut off once. */
+  /** A status lookup fails although it may run twice: its response was cut off once. */
   @Test
-  void aLookupWhoseAnswerWasLostIsSentAgain() {
+  void aLookupWithALostResponseIsRetried() {
     plain.then(FakePlainService.Step.RUN_AND_CUT);
 
-    HttpResponse<String> answer =
+    HttpResponse<String> response =
         callers.send(callers.request("/services/ventanilla/status?id=7").GET().build());
 
-    assertThat(answer.statusCode()).isEqualTo(200);
+    assertThat(response.statusCode()).isEqualTo(200);
     assertThat(plain.runs() + otherPlain.runs()).isEqualTo(2);
   }
 
   /** A generation that may run once is repeated: the stream is cut after its first tokens. */
   @Test
-  void aGenerationThatMayRunOnceEndsUnknownWhenItsStreamIsCut() {
+  void aGenerationThatMayRunOnceEndsUnknownWhenItsStreamBreaks() {
     first.then(Step.CUT_AFTER_THREE);
 
-    HttpResponse<String> answer = callers.send(callers.completion("asistente-once", 6, true));
+    HttpResponse<String> response = callers.send(callers.completion("asistente-once", 6, true));
 
-    assertThat(answer.body())
+    assertThat(response.body())
         .contains("event: error")
         .contains("\"run\":\"unknown\"")
         .doesNotContain("[DONE]");
@@ -191,13 +191,13 @@
    * and the first cancels to the stalled engine are lost.
    */
   @Test
-  void aStalledEngineIsToldToDropTheAttemptUntilItConfirms() {
+  void aCancelIsRepeatedUntilTheStalledEngineConfirmsIt() {
     first.then(Step.STALL_AFTER_THREE);
     first.loseCancels(3);
 
-    HttpResponse<String> answer = callers.send(callers.completion("asistente", 5, false));
+    HttpResponse<String> response = callers.send(callers.completion("asistente", 5, false));
 
-    assertThat(answer.body()).contains("\"text\":\"" + FakeEngine.truthOf(5) + "\"");
+    assertThat(response.body()).contains("\"text\":\"" + FakeEngine.truthOf(5) + "\"");
     Waits.until("nothing is held", () -> first.held().isEmpty());
     Waits.until("the request is settled", () -> path.registry().size() == 0);
   }
@@ -213,12 +213,12 @@
     path.quarantine().incarnation(new UpstreamName("decode-1"), 1, 0, 0);
     path.quarantine().incarnation(new UpstreamName("decode-2"), 1, 0, 0);
 
-    HttpResponse<String> poison = callers.send(callers.completion("asistente", 4, false));
-    HttpResponse<String> again = callers.send(callers.completion("asistente", 4, false));
+    HttpResponse<String> crashing = callers.send(callers.completion("asistente", 4, false));
+    HttpResponse<String> repeated = callers.send(callers.completion("asistente", 4, false));
 
-    assertThat(poison.body()).contains("\"reason\":\"quarantined\"").contains("unknown");
-    assertThat(again.statusCode()).isEqualTo(422);
-    assertThat(again.body()).contains("\"run\":\"not-run\"");
+    assertThat(crashing.body()).contains("\"reason\":\"quarantined\"").contains("unknown");
+    assertThat(repeated.statusCode()).isEqualTo(422);
+    assertThat(repeated.body()).contains("\"run\":\"not-run\"");
     assertThat(first.decodes().size() + second.decodes().size()).isEqualTo(2);
   }
 }
