--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/CallerParameters.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/CallerParameters.java
@@ -5,15 +5,17 @@
 import java.util.OptionalLong;
 
 /**
- * What a caller says of its request.
+ * Parameters of a request that its caller sends in headers.
  *
- * @param attempt the caller's own identifier of this try; empty text when it gives none
- * @param timeoutMillis how long the caller will wait; absent when it does not say
- * @param promptTokens length of its prompt; zero for a plain request
- * @param outputTokens how many tokens it generates at most; zero for a plain request
- * @param expectedTokens how many tokens the caller expects to be generated
- * @param resumeAfter the last event that the caller has of a broken stream; zero for none
- * @param key what proves of which organisation the caller is; empty when it shows none
+ * @param attempt the caller's identifier of this attempt; empty if the caller sends none
+ * @param timeoutMillis how long the caller waits for a response, in milliseconds; absent if the
+ *     caller does not say
+ * @param promptTokens length of the prompt in tokens; zero for a plain request
+ * @param outputTokens maximum number of generated tokens; zero for a plain request
+ * @param expectedTokens number of tokens that the caller expects to be generated
+ * @param resumeAfter id of the last event that the caller received from a broken stream; zero for
+ *     none
+ * @param key API key that identifies the organisation of the caller; empty if the caller sends none
  */
 public record CallerParameters(
     String attempt,
@@ -24,7 +26,7 @@
     int resumeAfter,
     Optional<String> key) {
 
-  /** Leaves out the key, which no line of a log may hold. */
+  /** Returns a text without the key, which must not appear in logs. */
   @Override
   public String toString() {
     return "attempt " + attempt + ", prompt " + promptTokens + ", output " + outputTokens;
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/CompletionListener.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/CompletionListener.java
@@ -2,16 +2,16 @@
 
 import org.marjoramsail.core.outcome.RequestProfile;
 
-/** Hears of streams that came to their end, to foretell how long others will be. */
+/** Receives the output length of each completed stream, from which output lengths are predicted. */
 @FunctionalInterface
 public interface CompletionListener {
 
   /**
-   * A stream came to its end.
+   * Handles the end of a complete stream.
    *
    * @param profile the request
-   * @param maximumTokens how many tokens it might have generated
-   * @param eventCount how many events it had
+   * @param maximumTokens maximum number of tokens that the request allowed
+   * @param eventCount number of events in the stream
    */
   void completed(RequestProfile profile, int maximumTokens, int eventCount);
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ConnectionCloseHeader.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ConnectionCloseHeader.java
@@ -3,7 +3,7 @@
 import io.vertx.core.http.HttpServerResponse;
 import java.util.function.BooleanSupplier;
 
-/** Tells callers not to use a connection again while this daemon stops. */
+/** Adds {@code connection: close} to responses while this daemon stops. */
 final class ConnectionCloseHeader {
 
   private final BooleanSupplier stopping;
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/EventSplitter.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/EventSplitter.java
@@ -6,20 +6,20 @@
 import java.util.List;
 
 /**
- * Cuts the bytes of a stream into whole events.
+ * Splits the bytes of a stream into complete events.
  *
- * <p>Guards against a stream that is broken off in the middle of an event: what is not whole is
- * never passed on, so a stream that goes on elsewhere repeats nothing and joins nothing.
+ * <p>Guards against a stream that breaks in the middle of an event: incomplete events are never
+ * passed on, so the stream can be resumed on another upstream without repeated or joined bytes.
  */
 final class EventSplitter {
 
   private static final String ID_FIELD = "id:";
 
   /**
-   * One event.
+   * One server-sent event.
    *
-   * @param id its number in the stream
-   * @param text all its bytes, its blank line included, one character a byte
+   * @param id id of the event in its stream
+   * @param text all bytes of the event including its final blank line, one character per byte
    */
   record Event(int id, String text) {}
 
@@ -28,10 +28,11 @@
   private int scanned;
 
   /**
-   * Handles the next bytes.
+   * Appends bytes of the stream.
    *
-   * @return the events that they complete; lines without an event's number stay with the next one
-   * @throws NumberFormatException when the number of an event is none
+   * @return the events that these bytes complete; blocks without an event id are joined to the next
+   *     event
+   * @throws NumberFormatException if an event id is not a number
    */
   List<Event> split(Buffer bytes) {
     pending.append(bytes.toString(StandardCharsets.ISO_8859_1));
@@ -53,12 +54,12 @@
     return events;
   }
 
-  /** Whether bytes wait that are no whole event. */
+  /** Returns whether the stream holds bytes that are not yet a complete event. */
   boolean hasIncompleteEvent() {
     return pending.length() > 0;
   }
 
-  /** The end of the next blank line, or -1. */
+  /** Returns the end of the next blank line, or -1. */
   private int blockEnd() {
     int lineFeed = pending.indexOf("\n", scanned);
     while (lineFeed >= 0) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardCall.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardCall.java
@@ -12,24 +12,29 @@
 import org.marjoramsail.daemon.request.OpenCall;
 
 /**
- * One exchange with an upstream, on a connection of its own until the answer is whole.
+ * One HTTP exchange with an upstream, on a connection that nothing else uses until the response is
+ * complete.
  *
- * <p>Closing it closes the connection, by which the upstream learns that nobody waits any more.
+ * <p>Closing the call closes the connection, which tells the upstream to stop the request.
  */
 final class ForwardCall implements OpenCall {
 
-  /** Receives what comes back, until the call is closed. */
+  /** Receives the response until the call is closed. */
   interface Listener {
-    /** The head of the answer; gives whether its body is wanted. */
+    /**
+     * Handles the head of the response.
+     *
+     * @return whether the body should be read
+     */
     boolean head(int status, MultiMap headers);
 
-    /** Some bytes of the body. */
+    /** Handles some bytes of the body. */
     void bytes(Buffer bytes);
 
-    /** The answer is whole. */
+    /** Handles the end of a complete response. */
     void end();
 
-    /** Nothing more comes. */
+    /** Handles a failure, after which nothing more is received. */
     void failed(UpstreamFailure failure);
   }
 
@@ -51,7 +56,7 @@
     this.listener = listener;
   }
 
-  /** Connects and sends. */
+  /** Connects and sends the request. */
   ForwardCall start(ForwardedRequest request, MultiMap headers) {
     connections
         .acquire(target)
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardDependencies.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardDependencies.java
@@ -8,19 +8,19 @@
 import org.marjoramsail.core.time.Clock;
 
 /**
- * Whom a forwarded request needs.
+ * Dependencies of a forwarded request.
  *
- * @param protocol the names on the wire
- * @param connections the way to upstreams
+ * @param protocol names of headers and fields on the wire
+ * @param connections pool of connections to upstreams
  * @param upstreams finds upstreams by name
- * @param handleLifetimeMillis how long KV caches of a service live, in milliseconds
- * @param liveness hears signs of life
- * @param feedback hears what upstreams say of themselves
- * @param completionListener hears how long streams are
- * @param plainResponseTimes hears how long plain answers of a service take, in milliseconds
- * @param connectionCloseHeader marks answers while this daemon stops
- * @param refusals writes answers of this program
- * @param clock tells the time
+ * @param handleLifetimeMillis returns the lifetime of the KV caches of a service, in milliseconds
+ * @param liveness receives reports about the liveness of upstreams
+ * @param feedback records what upstreams report of themselves
+ * @param completionListener receives the output length of completed streams
+ * @param plainResponseTimes receives the duration of buffered responses by service, in milliseconds
+ * @param connectionCloseHeader closes connections while this daemon stops
+ * @param refusals writes refusals
+ * @param clock returns the current time
  */
 record ForwardDependencies(
     ForwardingProtocol protocol,
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
@@ -26,12 +26,12 @@
 import org.marjoramsail.daemon.upstream.PlainResponse;
 
 /**
- * One forwarded request between its caller and its upstreams: sends its attempts, keeps the answers
- * that they got, and gives the caller the one that was decided for. Lives on one event loop.
+ * One forwarded request between its caller and its upstreams: sends the attempts, stores their
+ * responses, and sends the selected response to the caller. Runs on one event loop.
  */
 final class ForwardExchange implements AttemptSender, CallerSink {
 
-  /** A body that is longer than this is no answer of these services, bytes. */
+  /** Size to which the write queue of a slow caller is raised, in bytes. */
   private static final int MAXIMUM_WRITE_QUEUE_BYTES = 16 << 20;
 
   private record ResponseHead(int status, MultiMap headers) {}
@@ -105,7 +105,10 @@
                 new ResponseListener(send.attempt(), definition, events)));
   }
 
-  /** Closing a call ends what runs; only a KV cache that nobody has fetched is dropped by name. */
+  /**
+   * Cancels an attempt. Closing its call stops a running request, so that only a KV cache that
+   * nobody has fetched is deleted by its handle.
+   */
   @Override
   public void cancel(LifecycleAction.Cancel cancel, Consumer<LifecycleEvent> events) {
     LifecycleEvent confirmed =
@@ -211,7 +214,8 @@
     if (accepting.isPresent()) {
       targets.put(upstream, accepting.get());
     } else {
-      // The owner of the shard granted it before it knew what this host knows; nothing was sent.
+      // The owner of the shard may select an upstream before it receives the feedback that this
+      // host already has. Nothing was sent.
       UpstreamFailure failure =
           listed.isPresent() ? UpstreamFailure.NOT_ACCEPTING : UpstreamFailure.CONNECT_FAILED;
       events.accept(new LifecycleEvent.UpstreamFailed(attempt, upstream, failure));
@@ -246,7 +250,7 @@
     dependencies.liveness().responded(upstream.incarnation(), sentAtMillis);
   }
 
-  /** What the head of an answer that does not serve the request says of the attempt. */
+  /** Returns the failure that a response reports if it does not serve the request. */
   private static UpstreamFailure failureOf(ResponseDisposition disposition) {
     return switch (disposition) {
       case FULL -> UpstreamFailure.FULL;
@@ -255,7 +259,7 @@
     };
   }
 
-  /** Collects the body of an answer that is needed whole. */
+  /** Buffers the body of a response. */
   private abstract class BufferingListener implements ForwardCall.Listener {
     private final Buffer body = Buffer.buffer();
     private final int attempt;
@@ -289,7 +293,7 @@
       upstreamResponded(upstream, sentAtMillis);
     }
 
-    /** What another upstream says that has this address now is not said by the one meant. */
+    /** Records the feedback in a response, unless a different upstream now uses the address. */
     void recordFeedback(ResponseDisposition disposition, int status, MultiMap headers) {
       if (disposition != ResponseDisposition.MISDIRECTED) {
         dependencies
@@ -453,7 +457,7 @@
     }
   }
 
-  /** Waits for the end of a call whose answer does not matter but for what it says beside. */
+  /** Waits for the deletion of a KV cache; of its response only the feedback is used. */
   private final class DropListener implements ForwardCall.Listener {
     private final UpstreamDefinition holder;
     private final Runnable done;
@@ -473,7 +477,7 @@
 
     @Override
     public void bytes(Buffer bytes) {
-      // The answer to a drop says nothing that matters.
+      // The body of this response is not used.
     }
 
     @Override
@@ -483,7 +487,8 @@
 
     @Override
     public void failed(UpstreamFailure failure) {
-      // The KV cache lapses by itself; the lifecycle repeats the drop until it gives up.
+      // The KV cache expires by itself, and the request lifecycle repeats the deletion until it
+      // gives up.
     }
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardParameters.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardParameters.java
@@ -5,14 +5,14 @@
 import org.marjoramsail.daemon.upstream.KvLocation;
 
 /**
- * What an upstream is told beside the caller's request.
+ * Parameters that are sent to an upstream in addition to the caller's request.
  *
- * @param upstream the only upstream that may take it
- * @param remainingMillis how long the answer is of use
- * @param prefill whether only the prompt is to be read
- * @param kv where the KV cache of the prompt is
- * @param resumeAfter the last event that the caller has; zero for none
- * @param organisation whose request it is; empty where that is not known
+ * @param upstream the only upstream that may accept the request
+ * @param remainingMillis time until the deadline of the request, in milliseconds
+ * @param prefill whether only the prompt is to be prefilled
+ * @param kv location of the KV cache of the prompt
+ * @param resumeAfter id of the last event that the caller received; zero for none
+ * @param organisation organisation of the caller; empty if unknown
  */
 public record ForwardParameters(
     UpstreamName upstream,
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -35,17 +35,17 @@
 import org.marjoramsail.daemon.request.RequestHandle;
 import org.marjoramsail.daemon.request.Timeliness;
 
-/** Takes requests of callers that are forwarded as they are. Lives on one event loop. */
+/** HTTP server for callers whose requests are forwarded unchanged. Runs on one event loop. */
 public final class ForwardServer {
 
-  /** Longer than callers keep an idle connection, so that this side never closes first. */
+  /** Exceeds the idle timeout of callers, so that the caller closes an idle connection first. */
   private static final long IDLE_TIMEOUT_MILLIS = 60_000;
 
   private static final int MAXIMUM_HEAD_BYTES = 64 * 1024;
   private static final long MAXIMUM_BODY_BYTES = 64L << 20;
   private static final int BACKLOG = 1_024;
 
-  /** A colon, a space and the end of the line. */
+  /** Bytes of a header besides its name and value: a colon, a space and the line end. */
   private static final int HEADER_SEPARATORS = 4;
 
   private final Vertx vertx;
@@ -61,11 +61,11 @@
   private long sequence;
 
   /**
-   * Creates an instance with all that it needs; serves nobody yet.
+   * Creates a server that does not listen yet.
    *
    * @param vertx runs the event loop
-   * @param dependencies the rest of the daemon
-   * @param json writes answers of this program
+   * @param dependencies the other parts of the daemon
+   * @param json writes the bodies of refusals
    */
   public ForwardServer(Vertx vertx, ForwardServerDependencies dependencies, ObjectMapper json) {
     this.vertx = vertx;
@@ -89,7 +89,11 @@
             dependencies.clock());
   }
 
-  /** Starts to serve; gives the port. */
+  /**
+   * Starts to listen.
+   *
+   * @return the port
+   */
   public Future<Integer> start(String address, int port) {
     HttpServerOptions options =
         new HttpServerOptions()
@@ -110,12 +114,12 @@
     return server.listen().map(HttpServer::actualPort);
   }
 
-  /** From now on answers tell callers not to use their connection again. */
+  /** Adds {@code connection: close} to all responses from now on. */
   public void sendConnectionClose() {
     stopping = true;
   }
 
-  /** Refuses new requests and closes what is idle; what runs goes on. */
+  /** Refuses new requests and closes idle connections; running requests continue. */
   public void refuseNewRequests() {
     refusing = true;
     for (HttpConnection connection : List.copyOf(connections)) {
@@ -125,17 +129,17 @@
     }
   }
 
-  /** Closes the port and every connection. */
+  /** Closes the port and all connections. */
   public Future<Void> close() {
     return server == null ? Future.succeededFuture() : server.close();
   }
 
-  /** How many connections to upstreams were opened. */
+  /** Returns the number of connections to upstreams that were opened. */
   public long connectionsOpened() {
     return exchangeDependencies.connections().opened();
   }
 
-  /** Forgets connections to upstreams that are no longer known. */
+  /** Closes idle connections to all upstreams except the given ones. */
   public void retainConnections(Set<Incarnation> known) {
     exchangeDependencies.connections().retainOnly(known);
   }
@@ -352,7 +356,9 @@
     dependencies.forecast().update(profile.rule(), maximumTokens, tokens);
   }
 
-  /** Refuses before the body is read; a connection with an unread body is not used again. */
+  /**
+   * Refuses a request. If its body is unread, the connection is closed, since it cannot be reused.
+   */
   private void reject(HttpServerRequest request, CallerParameters parameters, Refusal refusal) {
     dependencies.refused().accept(refusal);
     boolean hasUnreadBody = !request.isEnded() && mayHaveBody(request);
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServerDependencies.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServerDependencies.java
@@ -15,21 +15,21 @@
 import org.marjoramsail.daemon.request.RequestRegistry;
 
 /**
- * What the forwarding side needs of the rest of the daemon.
+ * Dependencies of the forwarding server on the other parts of the daemon.
  *
  * @param daemon this daemon
- * @param protocol the names on the wire
- * @param routing gives the newest routes; empty before the first were heard of
+ * @param protocol names of headers and fields on the wire
+ * @param routing returns the newest routes; empty until the first are received
  * @param registry runs requests
  * @param upstreams finds upstreams by name
- * @param handleLifetimeMillis how long KV caches of a service live, in milliseconds
- * @param tokensPerEvent how many tokens an event of a service's streams carries
- * @param liveness hears signs of life
- * @param feedback hears what upstreams say of themselves
- * @param forecast foretells how long answers will be
- * @param refused hears of requests that are refused before they are registered
- * @param clock tells the time
- * @param random spreads the return of callers
+ * @param handleLifetimeMillis returns the lifetime of the KV caches of a service, in milliseconds
+ * @param tokensPerEvent returns the number of tokens in an event of a service's streams
+ * @param liveness receives reports about the liveness of upstreams
+ * @param feedback records what upstreams report of themselves
+ * @param forecast predicts output lengths
+ * @param refused receives requests that are refused before they are registered
+ * @param clock returns the current time
+ * @param random adds jitter to the retry times of callers
  */
 public record ForwardServerDependencies(
     DaemonId daemon,
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardedRequest.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardedRequest.java
@@ -6,16 +6,16 @@
 import java.util.Optional;
 
 /**
- * A caller's request as upstreams get it.
+ * A caller's request as it is sent to upstreams.
  *
  * @param method HTTP method
  * @param uri path and query
- * @param host the host that the caller named
- * @param headers the headers that are passed on
- * @param body the whole body
- * @param hasBody whether the caller sent a body, be it empty
- * @param parameters what the caller says of it
- * @param organisation whose request it is; empty where callers need no key
+ * @param host host header of the caller
+ * @param headers headers that are forwarded
+ * @param body the complete body
+ * @param hasBody whether the caller sent a body, which may be empty
+ * @param parameters parameters that the caller sent in headers
+ * @param organisation organisation of the caller; empty if callers need no key
  */
 record ForwardedRequest(
     HttpMethod method,
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingProtocol.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingProtocol.java
@@ -6,43 +6,51 @@
 import org.marjoramsail.core.feedback.UpstreamFeedback;
 
 /**
- * Names of headers, calls and fields between callers, this program and upstreams. It only
- * translates: what is sent where, and what an answer leads to, is decided elsewhere.
+ * Translates the headers, paths and fields that are exchanged with callers and upstreams. It makes
+ * no decisions about requests.
  */
 public interface ForwardingProtocol {
 
-  /** What a caller says of its request; what it does not say, or says wrongly, is absent. */
+  /** Returns the parameters in a caller's headers; missing and malformed values are absent. */
   CallerParameters parametersOf(MultiMap callerHeaders);
 
-  /** The headers of a caller that upstreams get: not those of one connection or of this program. */
+  /**
+   * Returns the headers of a caller that are sent to upstreams, without those that concern one
+   * connection or this program.
+   */
   MultiMap forwardedHeaders(MultiMap callerHeaders);
 
-  /** Adds what this program tells an upstream. */
+  /** Adds the parameters of a forwarded request to its headers. */
   void addParameters(MultiMap headers, ForwardParameters parameters);
 
-  /** The headers of an upstream's answer that the caller gets. */
+  /** Returns the headers of an upstream's response that are sent to the caller. */
   MultiMap returnedHeaders(MultiMap upstreamHeaders);
 
   /**
-   * What an answer says, by its status and headers.
+   * Classifies a response by its status and headers.
    *
-   * @param attempt the try that it should answer
-   * @param prefill whether only the reading of the prompt was asked for
+   * @param attempt the attempt to which the response should belong
+   * @param prefill whether the request asked only for a prefill
    */
   ResponseDisposition dispositionOf(int status, MultiMap headers, String attempt, boolean prefill);
 
-  /** What an upstream says of itself in the head of an answer, whatever else that answers. */
+  /** Returns what an upstream reports of itself in the head of any response. */
   UpstreamFeedback feedbackOf(int status, MultiMap upstreamHeaders);
 
-  /** The handle of a KV cache, from the body of the answer to a prefill; empty if there is none. */
+  /**
+   * Returns the prefilled prompt that the body of a prefill response describes; empty if it
+   * describes none.
+   */
   Optional<PrefilledPrompt> prefilledPrompt(Buffer body);
 
-  /** The path at which the holder of a KV cache is told to drop it. */
+  /** Returns the path at which an upstream deletes a KV cache. */
   String handlePath(String handle);
 
-  /** How long, in milliseconds, an upstream keeps an idle connection open; empty if unknown. */
+  /**
+   * Returns how long an upstream keeps an idle connection open, in milliseconds; empty if unknown.
+   */
   Optional<Long> keepAliveMillis(MultiMap headers);
 
-  /** Adds to an answer of this program which request it answers. */
+  /** Adds the identifier of the attempt to the headers of a response that this program writes. */
   void addAttempt(MultiMap headers, String attempt);
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingState.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardingState.java
@@ -22,8 +22,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What this daemon believes of routes and upstreams, and the pools that follow from both. It never
- * goes back to an older version of the routes. Lives on one event loop.
+ * Routes and upstreams that this daemon uses, and the pools that result from both. Older versions
+ * of the routes never replace newer ones. Runs on one event loop.
  */
 public final class ForwardingState {
 
@@ -42,11 +42,11 @@
   private boolean routesReachable = true;
 
   /**
-   * Starts with nothing known.
+   * Creates an empty state.
    *
-   * @param clock tells the time
-   * @param poolListener hears of each change of the pools
-   * @param incarnationListener hears of each life of an upstream, as it is first believed in
+   * @param clock returns the current time
+   * @param poolListener receives each change of the pools
+   * @param incarnationListener receives each new incarnation of an upstream
    */
   public ForwardingState(
       Clock clock,
@@ -57,22 +57,22 @@
     this.incarnationListener = incarnationListener;
   }
 
-  /** The routes in force here. */
+  /** Returns the routes in use. */
   public Optional<RoutingConfiguration> routing() {
     return routing;
   }
 
-  /** The pools that follow. */
+  /** Returns the current pools. */
   public Configuration configuration() {
     return configuration;
   }
 
-  /** Whether requests can be routed. */
+  /** Returns whether requests can be routed. */
   public boolean isReady() {
     return routing.isPresent() && discoveredUpstreams.isKnown();
   }
 
-  /** Takes routes; older ones than those in force are dropped. */
+  /** Replaces the routes, unless the given ones are not newer. */
   public void updateRoutes(RoutingConfiguration newer) {
     routesAvailable();
     if (routing.filter(current -> current.version() >= newer.version()).isPresent()) {
@@ -83,7 +83,7 @@
     for (String organisation : newer.keys().organisationsWithDuplicateKeys()) {
       LOG.atWarn()
           .addKeyValue("organisation", organisation)
-          .log("organisation states a key that another one holds");
+          .log("organisation declares a key that belongs to another organisation");
     }
     publish();
   }
@@ -105,9 +105,9 @@
   }
 
   /**
-   * Handles the whole list of upstreams.
+   * Replaces the list of upstreams.
    *
-   * @param unusable names whose entries are there and cannot be used
+   * @param unusable names of the upstreams whose entries exist but cannot be used
    */
   public void replaceUpstreams(List<ListedUpstream> listed, Collection<UpstreamName> unusable) {
     upstreamsAvailable();
@@ -116,7 +116,10 @@
     }
   }
 
-  /** Handles what another daemon knows, where the lists cannot be read here. */
+  /**
+   * Handles the routes and upstreams of another daemon, which this one receives when it cannot read
+   * the lists itself.
+   */
   public void receivedFromDaemon(
       Optional<RoutingConfiguration> routes, List<ListedUpstream> upstreams) {
     boolean newer =
@@ -132,22 +135,25 @@
       LOG.atInfo()
           .addKeyValue("version", routing.map(RoutingConfiguration::version).orElse(0L))
           .addKeyValue("upstreams", upstreams.size())
-          .log("learned from another daemon");
+          .log("routes and upstreams received from another daemon");
       publish();
     }
   }
 
-  /** Whether nothing is known and the lists cannot be read, so that others have to be asked. */
+  /**
+   * Returns whether this daemon has to request routes and upstreams from other daemons, because it
+   * has none and cannot read the lists.
+   */
   public boolean needsOtherDaemons() {
     return !isReady() && !(routesReachable && upstreamListReachable);
   }
 
   /**
-   * Has all that {@code changes} tells put in force at once, at its end.
+   * Publishes all changes that {@code changes} makes at once, after the last of them.
    *
-   * <p>Upstreams change in groups, when a service is replaced or a fleet starts. The pools are
-   * built anew of all upstreams, so that putting each change in force alone costs the square of the
-   * group.
+   * <p>Upstreams change in groups, when a service is replaced or a fleet starts. Each publication
+   * rebuilds the pools from all upstreams, so that publishing every change alone has quadratic
+   * cost.
    */
   public void applyTogether(Runnable changes) {
     batching = true;
@@ -176,13 +182,11 @@
     }
   }
 
-  /** Records that an entry cannot be used any more. */
+  /** Records that an entry has become unusable. */
   public void upstreamUnusable(UpstreamName name) {
     upstreamsAvailable();
     if (discoveredUpstreams.unusable(name, clock.millis())) {
-      LOG.atWarn()
-          .addKeyValue("upstream", name)
-          .log("entry of an upstream cannot be used any more");
+      LOG.atWarn().addKeyValue("upstream", name).log("entry of an upstream has become unusable");
       publish();
     }
   }
@@ -196,7 +200,7 @@
     }
   }
 
-  /** Records that the list of upstreams was heard from without news. */
+  /** Records that the list of upstreams responded without changes. */
   public void upstreamListResponded() {
     upstreamsAvailable();
     discoveredUpstreams.received(clock.millis());
@@ -211,15 +215,18 @@
     discoveredUpstreams.readFailed();
   }
 
-  /** Does what time has made due; called some times a second. */
+  /**
+   * Removes upstreams whose time to reappear in the list has expired; called several times a
+   * second.
+   */
   public void tick() {
     if (discoveredUpstreams.tick(clock.millis())) {
-      LOG.atInfo().log("upstreams that did not come back to the list are gone");
+      LOG.atInfo().log("upstreams that did not reappear in the list were removed");
       publish();
     }
   }
 
-  /** Which routes and upstreams are believed in, and how old that is, for logs. */
+  /** Returns the versions and the age of routes and upstreams, for logs. */
   public String describe() {
     long version = routing.map(RoutingConfiguration::version).orElse(0L);
     return "routes "
@@ -232,22 +239,22 @@
         + " ms ago";
   }
 
-  /** How long ago the list of upstreams was heard from, in milliseconds. */
+  /** Returns the time since the last response of the list of upstreams, in milliseconds. */
   public double upstreamListAgeMillis() {
     return (double) (clock.millis() - discoveredUpstreams.lastReceivedAtMillis());
   }
 
-  /** The version of the routes in force; zero before the first. */
+  /** Returns the version of the routes in use; zero if there are none. */
   public double version() {
     return routing.map(known -> (double) known.version()).orElse(0.0);
   }
 
-  /** What the engines of a service can do. */
+  /** Returns the capabilities of a service's engines. */
   public Optional<EngineProfile> engineFacts(String service) {
     return routing.flatMap(known -> known.service(service)).flatMap(RoutedService::engines);
   }
 
-  /** How many engines are believed in. */
+  /** Returns the number of engines in the pools. */
   public int engineCount() {
     return (int)
         configuration.upstreams().stream()
@@ -255,7 +262,7 @@
             .count();
   }
 
-  /** The lives of all upstreams that are believed in. */
+  /** Returns the incarnations of all upstreams in the pools. */
   public Set<Incarnation> incarnations() {
     return incarnations;
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/LivenessListener.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/LivenessListener.java
@@ -3,16 +3,19 @@
 import org.marjoramsail.core.model.Incarnation;
 import org.marjoramsail.core.model.UpstreamName;
 
-/** Hears signs of life of upstreams, which tell a crash from a lost answer. */
+/**
+ * Receives reports about the liveness of upstreams, which distinguish a crash from a lost response.
+ */
 public interface LivenessListener {
 
   /**
-   * An upstream answered something that was sent at that moment or later.
+   * Records a response of an upstream.
    *
-   * @param upstream the life that was believed in when it was sent
+   * @param upstream the incarnation that was known when the request was sent
+   * @param sentAtMillis when the request was sent
    */
   void responded(Incarnation upstream, long sentAtMillis);
 
-  /** No connection to an upstream came about. */
+  /** Records that a connection to an upstream could not be opened. */
   void connectionFailed(UpstreamName upstream);
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/RefusalWriter.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/RefusalWriter.java
@@ -11,10 +11,10 @@
 import org.marjoramsail.core.failure.RunState;
 
 /**
- * Writes answers of this program's own.
+ * Writes refusals to callers.
  *
- * <p>A request that was not run gets a status that promises so, with the time after which it may
- * come back; one that may have run gets a status that promises nothing.
+ * <p>The status of a request that was not run promises this, with a time after which the caller may
+ * retry. The status of a request that may have run promises nothing.
  */
 final class RefusalWriter {
 
@@ -26,10 +26,10 @@
   private static final int UNPROCESSABLE_STATUS = 422;
   private static final int TOO_MANY_STATUS = 429;
 
-  /** Where nothing better is known, callers come back after this time, in milliseconds. */
+  /** Retry time of refusals that give none, in milliseconds. */
   private static final long DEFAULT_RETRY_MILLIS = 150;
 
-  /** Callers that are refused together come back spread over this share of their wait. */
+  /** Share of the retry time by which retries of callers that were refused together are spread. */
   private static final double RETRY_JITTER = 0.4;
 
   private static final double MILLIS_PER_SECOND = 1_000;
@@ -50,7 +50,7 @@
     this.connectionCloseHeader = connectionCloseHeader;
   }
 
-  /** Ends a request; an answer that has begun is broken off, so that it cannot look complete. */
+  /** Ends a request. A response that has begun is reset, so that it cannot look complete. */
   void write(HttpServerRequest caller, String attempt, Refusal refusal) {
     HttpServerResponse response = caller.response();
     if (response.closed() || response.ended()) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ResponseDisposition.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ResponseDisposition.java
@@ -1,17 +1,20 @@
 package org.marjoramsail.daemon.forward;
 
-/** What the head of an answer says of the request that it answers. */
+/** Classification of an upstream's response by its head. */
 public enum ResponseDisposition {
-  /** It was served. */
+  /** The request was served. */
   SERVED,
-  /** It was run and failed; the answer says how. */
+  /** The request was run and failed; the response describes the failure. */
   FAILED,
-  /** It was not run, since the upstream has no room. */
+  /** The request was not run, since the upstream has no free capacity. */
   FULL,
-  /** It was not run, since another upstream has this address now or this one takes nothing more. */
+  /**
+   * The request was not run, since the address now belongs to another upstream or the upstream no
+   * longer accepts requests.
+   */
   MISDIRECTED,
-  /** The answer belongs to another request or is not what the upstream made. */
+  /** The response belongs to another request or was not made by the upstream. */
   INVALID,
-  /** It was not served, and nothing proves whether it ran. */
+  /** The request was not served, and the response does not show whether it ran. */
   UNKNOWN
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamConnections.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamConnections.java
@@ -17,21 +17,24 @@
 import org.marjoramsail.core.time.Clock;
 
 /**
- * Connections to upstreams, kept for a run of an upstream rather than for an address, since
- * addresses are given to others. Lives on one event loop.
+ * Pool of idle connections to upstreams, by incarnation instead of address, since addresses are
+ * reassigned. Runs on one event loop.
  */
 final class UpstreamConnections {
 
-  /** How many idle connections are kept for one upstream. */
+  /** Maximum number of idle connections for one upstream. */
   private static final int MAXIMUM_IDLE = 8;
 
   /**
-   * How long a new connection may take, in milliseconds. Its round trip is a few; a lost packet is
-   * repeated after a second, by which time another upstream would have answered.
+   * Timeout for a new connection, in milliseconds. It is shorter than the retransmission of a lost
+   * packet, so that the request moves to another upstream instead.
    */
   private static final int CONNECT_TIMEOUT_MILLIS = 400;
 
-  /** How long before the upstream closes an idle connection it is no longer used, milliseconds. */
+  /**
+   * Time before an upstream closes an idle connection during which it is no longer used, in
+   * milliseconds.
+   */
   private static final long IDLE_MARGIN_MILLIS = 500;
 
   private record IdleConnection(HttpClientConnection connection, long usableUntilMillis) {}
@@ -54,7 +57,7 @@
     this.clock = clock;
   }
 
-  /** A connection that nothing else uses; a failure proves that nothing was sent. */
+  /** Returns a connection that nothing else uses. A failure proves that nothing was sent. */
   Future<HttpClientConnection> acquire(UpstreamDefinition target) {
     Deque<IdleConnection> idleConnections = idle.get(target.incarnation());
     while (idleConnections != null && !idleConnections.isEmpty()) {
@@ -72,7 +75,7 @@
             .setConnectTimeout(CONNECT_TIMEOUT_MILLIS));
   }
 
-  /** Keeps a connection whose last answer is whole. */
+  /** Returns a connection to the pool after a complete response. */
   void release(Incarnation target, HttpClientConnection connection, long idleMillis) {
     long usableMillis = idleMillis - IDLE_MARGIN_MILLIS;
     Deque<IdleConnection> idleConnections =
@@ -86,7 +89,7 @@
     connection.closeHandler(closed -> idleConnections.remove(idleConnection));
   }
 
-  /** Closes what is kept for upstreams that are no longer known, and what is too old. */
+  /** Closes the connections to all upstreams except the given ones, and those that have expired. */
   void retainOnly(Set<Incarnation> known) {
     long now = clock.millis();
     idle.entrySet()
@@ -103,7 +106,7 @@
             });
   }
 
-  /** How many connections were opened. */
+  /** Returns the number of connections that were opened. */
   long opened() {
     return opened;
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamFeedbackRecorder.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamFeedbackRecorder.java
@@ -14,14 +14,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Hears what upstreams say of themselves, shows operators what this host believes since, and has it
- * kept at each send.
+ * Records the feedback of upstreams in a table, counts and logs its changes, and answers before
+ * each send whether an upstream accepts requests.
  */
 public final class UpstreamFeedbackRecorder {
 
   private static final Logger LOG = LoggerFactory.getLogger(UpstreamFeedbackRecorder.class);
 
-  /** A limit that moves a little with each answer is no change of state. */
+  /** Rate limits may change slightly with each response, so their changes are not logged. */
   private static final Set<FeedbackChange> NOT_LOGGED = Set.of(FeedbackChange.LIMIT_CHANGED);
 
   private final UpstreamFeedbackTable feedbackTable;
@@ -29,10 +29,10 @@
   private final Map<FeedbackChange, Counter> counters = new EnumMap<>(FeedbackChange.class);
 
   /**
-   * Creates an instance with what it works with.
+   * Creates a recorder.
    *
-   * @param feedbackTable what is believed
-   * @param meters shows how often beliefs change and how many upstreams they are about
+   * @param feedbackTable the latest feedback of all upstreams
+   * @param meters counts changes and shows how many upstreams are limited, leaving and paused
    */
   public UpstreamFeedbackRecorder(
       UpstreamFeedbackTable feedbackTable, Clock clock, MeterRegistry meters) {
@@ -48,7 +48,7 @@
     meters.gauge(gauge + "paused", feedbackTable, table -> (double) table.paused(clock.millis()));
   }
 
-  /** Handles what the head of an answer says of the upstream that gave it. */
+  /** Records the feedback in the head of a response. */
   public void recordFeedback(UpstreamDefinition upstream, UpstreamFeedback feedback) {
     Set<FeedbackChange> changes =
         feedbackTable.update(upstream.incarnation(), feedback, clock.millis());
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Whether an upstream wants a request from this host now. */
+  /** Returns whether an upstream accepts a request from this host now. */
   public boolean isAccepting(UpstreamDefinition upstream) {
     return feedbackTable.isAccepting(upstream.incarnation(), clock.millis());
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamLiveness.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/UpstreamLiveness.java
@@ -8,15 +8,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Tells of signs of life, of crashes and of upstreams that have started again under their name. */
+/** Reports responses, failed connections and restarts of upstreams to the quarantine. */
 public final class UpstreamLiveness implements LivenessListener {
 
   private static final Logger LOG = LoggerFactory.getLogger(UpstreamLiveness.class);
 
-  /** Stands for the start of an upstream that does not say when it started. */
+  /** Replaces the start time of an upstream that reports none. */
   private static final long DEFAULT_START_MILLIS = 1;
 
-  /** An entry stays in the list when its upstream is gone, so it proves no life after a cut. */
+  /**
+   * An entry stays in the list after its upstream has failed, so that it does not count as a
+   * response.
+   */
   private static final long NO_RESPONSE_MILLIS = Long.MIN_VALUE;
 
   private final Quarantine quarantine;
@@ -24,11 +27,12 @@
   private final Consumer<UpstreamName> restarted;
 
   /**
-   * Creates an instance with whom it tells.
+   * Creates an instance.
    *
-   * @param quarantine counts a crash once for each life
-   * @param clock tells the time
-   * @param restarted hears of upstreams on which all that ran is over
+   * @param quarantine counts at most one crash for each incarnation
+   * @param clock returns the current time
+   * @param restarted receives upstreams that have restarted, on which no earlier request runs any
+   *     more
    */
   public UpstreamLiveness(Quarantine quarantine, Clock clock, Consumer<UpstreamName> restarted) {
     this.quarantine = quarantine;
@@ -36,7 +40,7 @@
     this.restarted = restarted;
   }
 
-  /** Handles a life that the list shows. */
+  /** Handles an incarnation in the list of upstreams. */
   public void listed(Incarnation upstream) {
     if (recordIncarnation(upstream, NO_RESPONSE_MILLIS)) {
       LOG.atInfo().addKeyValue("upstream", upstream).log("upstream has started again");
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/package-info.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Forwards requests that this program does not interpret: taken from callers whole, given to
- * upstreams unchanged, answered with an upstream's own bytes. What the headers are called is told
- * by a {@link org.marjoramsail.daemon.forward.ForwardingProtocol}.
+ * Forwards requests that this program does not interpret: callers' requests are sent to upstreams
+ * unchanged, and callers receive the bytes of the upstream's response. A {@link
+ * org.marjoramsail.daemon.forward.ForwardingProtocol} defines the names of headers and fields.
  */
 package org.marjoramsail.daemon.forward;
--- a/daemon/src/test/java/org/marjoramsail/daemon/forward/EventSplitterTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/forward/EventSplitterTest.java
@@ -28,8 +28,8 @@
   }
 
   /**
-   * A server crashed in the middle of an event. Half an event that reached the caller would have
-   * been joined with the first bytes of the server at which the stream went on.
+   * Guards against half an event reaching the caller when a server crashes, since it would be
+   * joined to the first bytes of the resumed stream.
    */
   @Test
   void anIncompleteEventIsNotReturned() {
--- a/daemon/src/test/java/org/marjoramsail/daemon/forward/ForwardingStateTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/forward/ForwardingStateTest.java
@@ -45,8 +45,8 @@
   }
 
   /**
-   * A service of forty upstreams was replaced at once. The pools were built anew for each of them,
-   * and for as long every request of the daemon waited.
+   * Guards against rebuilding the pools for each upstream of a replaced service, which delays all
+   * requests of the daemon.
    */
   @Test
   void changesOfOneBatchArePublishedOnce() {
@@ -75,7 +75,9 @@
     assertThat(published).isEmpty();
   }
 
-  /** A leaving upstream must not go on getting work because an entry beside it is broken. */
+  /**
+   * Guards against a leaving upstream that still receives requests because another entry is broken.
+   */
   @Test
   void changesBeforeAnExceptionArePublished() {
     assertThatThrownBy(
--- a/daemon/src/test/java/org/marjoramsail/daemon/forward/UpstreamLivenessTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/forward/UpstreamLivenessTest.java
@@ -33,7 +33,7 @@
     assertThat(restarted).containsExactly(ENGINE);
   }
 
-  /** What an earlier life had still to write came after the entry of the later one. */
+  /** Guards against a late entry of an earlier incarnation, written after that of the later one. */
   @Test
   void anEarlierStartIsNotReportedAsARestart() {
     liveness.listed(new Incarnation(ENGINE, 2_000));
@@ -52,8 +52,8 @@
   }
 
   /**
-   * An engine crashed with its entry still in the list, and the list was read again. Taken for a
-   * sign of life, that would have cleared the prompt that crashed it.
+   * Guards against a list read after a crash that counts as a response of the crashed engine and so
+   * clears the prompt that crashed it.
    */
   @Test
   void anEntryInTheListDoesNotClearTheSuspicionOfACrash() {
