--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/BodyReader.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/BodyReader.java
@@ -7,7 +7,7 @@
 import io.vertx.core.http.HttpServerRequest;
 import org.marjoramsail.core.failure.RefusalReason;
 
-/** Reads a body within its bounds of size and time. */
+/** Reads request bodies within limits of size and time. */
 final class BodyReader {
 
   private final Vertx vertx;
@@ -18,14 +18,19 @@
     this.limits = limits;
   }
 
-  /** Gives the body, or fails with a {@link RejectedRequestException}. */
+  /**
+   * Reads a body.
+   *
+   * @return the body, or a failure with a {@link RejectedRequestException}
+   */
   Future<Buffer> read(HttpServerRequest request) {
     Promise<Buffer> promise = Promise.promise();
     if (declaredLength(request) > limits.maximumBodyBytes()) {
       promise.fail(tooLarge(request.getHeader("content-length")));
       return promise.future();
     }
-    // A caller that sends its body byte by byte would hold a connection and its buffer for ever.
+    // Guards against a caller that sends its body byte by byte and so holds a connection and its
+    // buffer forever.
     long timer = vertx.setTimer(limits.bodyTimeoutMillis(), fired -> promise.tryFail(tooSlow()));
     Buffer body = Buffer.buffer();
     request.handler(
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/BufferedResponseSink.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/BufferedResponseSink.java
@@ -8,7 +8,7 @@
 import org.marjoramsail.daemon.request.CallerSink;
 import org.marjoramsail.daemon.upstream.PlainResponse;
 
-/** Answers with one document: a completion that is not streamed, or a plain service's answer. */
+/** Sends one document: a completion that is not streamed, or the response of a plain service. */
 final class BufferedResponseSink implements CallerSink {
 
   private final HttpServerResponse response;
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerBinding.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerBinding.java
@@ -1,10 +1,10 @@
 package org.marjoramsail.daemon.caller;
 
 /**
- * Where callers are served.
+ * Address and port on which callers are served.
  *
- * @param address an IP number of this host
- * @param port a TCP port; zero for any free one
- * @param eventLoops how many event loops serve callers
+ * @param address IP address of this host
+ * @param port TCP port; zero for any free port
+ * @param eventLoops number of event loops that serve callers
  */
 public record CallerBinding(String address, int port, int eventLoops) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerDependencies.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerDependencies.java
@@ -11,16 +11,16 @@
 import org.marjoramsail.daemon.request.UpstreamClients;
 
 /**
- * What the caller side needs of the rest of the daemon.
+ * Dependencies of the caller server on the other parts of the daemon.
  *
  * @param daemon this daemon
- * @param configuration gives the newest configuration
+ * @param configuration returns the newest configuration
  * @param registry runs requests
- * @param metrics what is counted
- * @param clock tells the time
+ * @param metrics counts requests and refusals
+ * @param clock returns the current time
  * @param json reads and writes bodies
- * @param policy bounds of the tries and waits of a request
- * @param upstreams calls upstreams
+ * @param policy limits of the attempts and waiting times of a request
+ * @param upstreams clients for upstreams
  */
 public record CallerDependencies(
     DaemonId daemon,
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHandler.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHandler.java
@@ -42,7 +42,7 @@
     this.problems = new ProblemWriter(dependencies.json());
   }
 
-  /** Serves a request. */
+  /** Handles a request. */
   void handle(HttpServerRequest request) {
     RequestId id = ids.next();
     long receivedAtMillis = dependencies.clock().millis();
@@ -69,9 +69,9 @@
   }
 
   /**
-   * Refuses a request before anything of it is read.
+   * Refuses a request before its body is read.
    *
-   * @param closeConnection whether its connection is closed afterwards
+   * @param closeConnection whether the connection is closed afterwards
    */
   void refuse(HttpServerRequest request, Refusal refusal, boolean closeConnection) {
     RequestId id = ids.next();
@@ -171,8 +171,9 @@
   }
 
   /**
-   * A repeat with a key that this daemon cannot take now may have run for an earlier request, which
-   * nobody has looked up; a request that would be refused at any time was never taken in before.
+   * Marks the run state of a refusal as unknown if the request has an idempotency key and may be
+   * retried later: an earlier request with this key may have run. Refusals that no retry can change
+   * keep their run state, since no earlier request was accepted either.
    */
   private static Refusal adjustRunState(HttpServerRequest request, Refusal refusal) {
     boolean hasIdempotencyKey = request.headers().contains(CallerHeaders.IDEMPOTENCY_KEY);
@@ -185,7 +186,9 @@
     reject(request, id, refusal, !request.isEnded());
   }
 
-  /** Refuses; what is left of a body is not read, so that its connection cannot be used again. */
+  /**
+   * Refuses a request. The rest of its body stays unread, so that the connection cannot be reused.
+   */
   private void reject(
       HttpServerRequest request, RequestId id, Refusal found, boolean closeConnection) {
     Refusal refusal = adjustRunState(request, found);
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHeaders.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHeaders.java
@@ -5,10 +5,10 @@
 import org.marjoramsail.core.failure.RefusalReason;
 
 /**
- * What a caller says in headers.
+ * Parameters of a request that its caller sends in headers.
  *
- * @param idempotencyKey names the caller's intent, across repeats
- * @param deadlineMillis how long an answer is of use
+ * @param idempotencyKey identifies the operation across retries of the caller
+ * @param deadlineMillis time within which the caller needs a response, in milliseconds
  */
 record CallerHeaders(Optional<String> idempotencyKey, Optional<Long> deadlineMillis) {
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerLimits.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerLimits.java
@@ -1,17 +1,17 @@
 package org.marjoramsail.daemon.caller;
 
 /**
- * Bounds of what one caller, and all together, may cost this daemon.
+ * Limits on the resources that callers may use.
  *
- * @param maximumConnections connections that are served at once; more get a typed refusal
- * @param maximumHeaderBytes all headers of a request together
- * @param maximumBodyBytes the body of a request
- * @param headerTimeoutMillis how long a connection may stay open without a whole request head
+ * @param maximumConnections open connections in total; further ones receive a typed refusal
+ * @param maximumHeaderBytes size of all headers of a request
+ * @param maximumBodyBytes size of the body of a request
+ * @param headerTimeoutMillis how long a connection may stay open without a complete request head
  * @param bodyTimeoutMillis how long a body may take to arrive
- * @param maximumBufferedBytes how much of an answer waits for a slow reader
- * @param slowReaderMillis how long a reader may take nothing while its buffer is full
- * @param maximumOutputTokens the most that a request may ask for
- * @param defaultOutputTokens what a request gets that does not say
+ * @param maximumBufferedBytes size of the output that is buffered for a slow reader
+ * @param slowReaderMillis how long a reader may read nothing while its buffer is full
+ * @param maximumOutputTokens maximum number of output tokens that a request may ask for
+ * @param defaultOutputTokens maximum number of output tokens of a request that gives none
  */
 public record CallerLimits(
     int maximumConnections,
@@ -24,7 +24,7 @@
     int maximumOutputTokens,
     int defaultOutputTokens) {
 
-  /** The bounds that daemons use where their settings say nothing else. */
+  /** Returns the limits that apply if the settings give none. */
   public static CallerLimits defaults() {
     return new CallerLimits(
         10_000, 16 * 1024, 1024 * 1024, 10_000, 20_000, 256 * 1024, 10_000, 8_192, 256);
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerRoute.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerRoute.java
@@ -3,29 +3,29 @@
 import io.vertx.core.http.HttpServerRequest;
 import org.marjoramsail.core.failure.RefusalReason;
 
-/** What the path of a request asks for. */
+/** Target of a request, as its path gives it. */
 sealed interface CallerRoute {
 
   /**
-   * Text from a model service.
+   * A completion from a model service.
    *
-   * @param format the shape of request and answer
+   * @param format format of request and response
    */
   record Generation(CompletionFormat format) implements CallerRoute {}
 
   /**
-   * A plain service.
+   * A request to a plain service.
    *
-   * @param service its name
-   * @param path path below the service, without the query
-   * @param pathAndQuery what the service gets
+   * @param service name of the service
+   * @param path path within the service, without the query
+   * @param pathAndQuery path and query that are sent to the service
    */
   record Plain(String service, String path, String pathAndQuery) implements CallerRoute {}
 
-  /** The prefix of plain services. */
+  /** Path prefix of plain services. */
   String SERVICES = "/services/";
 
-  /** Reads the path. */
+  /** Parses the path of a request. */
   static CallerRoute of(HttpServerRequest request) throws RejectedRequestException {
     String path = request.path() == null ? "" : request.path();
     for (CompletionFormat format : CompletionFormat.values()) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerServer.java
@@ -15,12 +15,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Serves callers over HTTP on several event loops. */
+/** HTTP server for callers, on several event loops. */
 public final class CallerServer {
 
   private static final Logger LOG = LoggerFactory.getLogger(CallerServer.class);
 
-  /** Lets all event loops share one port that the system chooses. */
+  /** Lets all event loops share one free port that the operating system chooses. */
   private static final int SHARED_FREE_PORT = -1;
 
   private static final long FINISH_CHECK_MILLIS = 20;
@@ -36,12 +36,12 @@
   private volatile String deployment = "";
 
   /**
-   * Creates an instance with all that it needs; serves nobody yet.
+   * Creates a server that does not listen yet.
    *
    * @param vertx runs the event loops
-   * @param binding where to listen
-   * @param limits what callers may cost
-   * @param dependencies the rest of the daemon
+   * @param binding address and port
+   * @param limits limits on the resources that callers may use
+   * @param dependencies the other parts of the daemon
    */
   public CallerServer(
       Vertx vertx, CallerBinding binding, CallerLimits limits, CallerDependencies dependencies) {
@@ -54,7 +54,11 @@
     this.connections = new ConnectionGuard(vertx, limits);
   }
 
-  /** Starts to serve; gives the port. */
+  /**
+   * Starts to listen.
+   *
+   * @return the port
+   */
   public Future<Integer> start() {
     return vertx
         .deployVerticle(Listener::new, new DeploymentOptions().setInstances(binding.eventLoops()))
@@ -69,22 +73,23 @@
             });
   }
 
-  /** How far it has stopped. */
+  /** Returns the phase of the stop. */
   public StopPhase phase() {
     return phase;
   }
 
-  /** How many connections of callers are open. */
+  /** Returns the number of open connections of callers. */
   public int openConnections() {
     return connections.open();
   }
 
   /**
-   * Stops without cutting off a request: not ready, then refusing, then closed.
+   * Stops in three phases: not ready, refusing new requests, closed.
    *
-   * @param notReadyMillis how long the balancer may take to notice; at least one
-   * @param finishWithinMillis how long running requests may take
-   * @return how many requests were still running at the end; zero when none was cut off
+   * @param notReadyMillis time in which the load balancer stops sending requests; at least one
+   *     millisecond
+   * @param finishWithinMillis time in which running requests may finish
+   * @return the number of requests that were still running at the end and were cut off
    */
   public Future<Integer> stop(long notReadyMillis, long finishWithinMillis) {
     enter(StopPhase.NOT_READY);
@@ -156,8 +161,8 @@
               .setHost(binding.address())
               .setPort(binding.port() == 0 ? SHARED_FREE_PORT : binding.port())
               .setMaxHeaderSize(limits.maximumHeaderBytes())
-              // With HTTP/2 in clear text the library hides a connection until its first bytes, so
-              // that connections which send nothing would be neither counted nor closed in time.
+              // With HTTP/2 in clear text the library reports a connection only after its first
+              // bytes, so that connections which send nothing would be neither counted nor closed.
               .setHttp2ClearTextEnabled(false)
               .setTcpNoDelay(true);
       HttpServer server =
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CompletionCall.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CompletionCall.java
@@ -1,11 +1,11 @@
 package org.marjoramsail.daemon.caller;
 
 /**
- * What a caller asks of a model service.
+ * Parameters of a completion request.
  *
  * @param service the service, which callers name as the model
  * @param prompt the prompt
- * @param maximumTokens how many tokens at most
- * @param streamed whether the answer comes token by token
+ * @param maximumTokens maximum number of generated tokens
+ * @param streamed whether the output is streamed
  */
 record CompletionCall(String service, String prompt, int maximumTokens, boolean streamed) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CompletionFormat.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CompletionFormat.java
@@ -8,7 +8,7 @@
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.core.outcome.Completion;
 
-/** The two shapes in which callers ask for text and get it. */
+/** Formats of completion requests and responses. */
 enum CompletionFormat {
   COMPLETION("/v1/completions", "text_completion", "text_completion") {
     @Override
@@ -80,19 +80,19 @@
     this.chunkObject = chunkObject;
   }
 
-  /** The path on which callers ask in this format. */
+  /** Returns the path of requests in this format. */
   String path() {
     return path;
   }
 
-  /** Reads the prompt of a request body. */
+  /** Returns the prompt of a request body. */
   abstract String prompt(JsonNode body) throws RejectedRequestException;
 
   abstract void putText(ObjectNode choice, String text);
 
   abstract void putChunk(ObjectNode choice, String text);
 
-  /** The whole response. */
+  /** Returns a complete response. */
   ObjectNode response(
       ObjectMapper json, RequestId request, String model, String text, Completion completion) {
     ObjectNode response = head(json, request, model, responseObject);
@@ -107,7 +107,7 @@
     return response;
   }
 
-  /** One token of a streamed response. */
+  /** Returns one chunk of a streamed response. */
   ObjectNode chunk(ObjectMapper json, RequestId request, String model, String text) {
     ObjectNode response = head(json, request, model, chunkObject);
     ObjectNode choice = response.putArray("choices").addObject().put("index", 0);
@@ -116,7 +116,7 @@
     return response;
   }
 
-  /** The last event of a whole streamed response. */
+  /** Returns the last chunk of a complete streamed response. */
   ObjectNode lastChunk(ObjectMapper json, RequestId request, String model, String finishReason) {
     ObjectNode response = head(json, request, model, chunkObject);
     ObjectNode choice = response.putArray("choices").addObject().put("index", 0);
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CompletionParser.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CompletionParser.java
@@ -6,7 +6,10 @@
 import java.io.IOException;
 import org.marjoramsail.core.failure.RefusalReason;
 
-/** Reads the JSON of completions; each refusal names the field, the value and what is allowed. */
+/**
+ * Parses the JSON of completion requests; each refusal names the field, its value and the allowed
+ * values.
+ */
 final class CompletionParser {
 
   private static final int MAXIMUM_QUOTED_CHARACTERS = 80;
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/ConnectionGuard.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/ConnectionGuard.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Bounds what connections cost.
+ * Limits the number of connections and their idle time.
  *
- * <p>Guards against floods of connections, which show as memory that grows without requests: over
- * the limit a connection gets one typed refusal and is closed, over twice the limit it is closed at
- * once. A connection that stays without a whole request head is closed as well.
+ * <p>Guards against floods of connections, which use memory without sending requests: over the
+ * limit a connection receives one typed refusal and is closed, and over twice the limit it is
+ * closed at once. A connection without a complete request head is closed after a timeout.
  */
 final class ConnectionGuard {
 
@@ -56,7 +56,11 @@
     }
   }
 
-  /** Handles a request on a connection; false when the connection is over the limit. */
+  /**
+   * Handles a new request on a connection.
+   *
+   * @return false if the connection is over the limit
+   */
   boolean admit(HttpServerRequest request) {
     HttpConnection connection = request.connection();
     State state = states.get(connection);
@@ -77,7 +81,7 @@
     return !state.overLimit;
   }
 
-  /** How many connections are open. */
+  /** Returns the number of open connections. */
   int open() {
     return open.get();
   }
@@ -87,7 +91,10 @@
     state.timer = vertx.setTimer(limits.headerTimeoutMillis(), fired -> close(connection));
   }
 
-  /** Closes once the last answer is read; a reader that does not read it in time loses the rest. */
+  /**
+   * Closes a connection after its last response is read, or after a timeout if the reader is too
+   * slow.
+   */
   private void close(HttpConnection connection) {
     connection.close();
     vertx.setTimer(limits.slowReaderMillis(), fired -> ForcedClose.close(connection));
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/ForcedClose.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/ForcedClose.java
@@ -5,20 +5,20 @@
 import io.vertx.core.net.impl.ConnectionBase;
 
 /**
- * Closes a connection at once, with all that still waits to be written to it.
+ * Closes a connection at once and discards the bytes that are not yet written to it.
  *
- * <p>Guards against the failure in which a reader takes nothing and the library's own close waits
- * for it: that close is queued behind the unread bytes, so the connection and its bytes stay for as
- * long as the reader likes, and the daemon cannot stop.
+ * <p>Guards against a reader that reads nothing: the library queues its own close behind the unread
+ * bytes, so that the connection stays open and the daemon cannot stop.
  */
 final class ForcedClose {
 
   private ForcedClose() {}
 
-  /** Closes; has no effect on a connection that is closed. */
+  /** Closes a connection; has no effect if it is already closed. */
   static void close(HttpConnection connection) {
     if (connection instanceof ConnectionBase base) {
-      // Nothing can be done about a close that fails; the connection's own handlers hear the end.
+      // A failed close needs no handling; the close handler of the connection is called in any
+      // case.
       ChannelFuture unused = base.channelHandlerContext().close();
     } else {
       connection.close();
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/ProblemWriter.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/ProblemWriter.java
@@ -20,7 +20,11 @@
     this.json = json;
   }
 
-  /** Writes a whole response, at once; the future ends when it has left this host. */
+  /**
+   * Writes a complete response.
+   *
+   * @return completes when the response is written
+   */
   Future<Void> write(HttpServerResponse response, RequestId request, Refusal refusal) {
     response.setStatusCode(refusal.reason().httpStatus());
     response.putHeader("content-type", "application/problem+json");
@@ -31,7 +35,7 @@
     return response.end(document(request, refusal).toString());
   }
 
-  /** The document itself. */
+  /** Returns the problem document of a refusal. */
   ObjectNode document(RequestId request, Refusal refusal) {
     String code = refusal.reason().code();
     return json.createObjectNode()
@@ -44,7 +48,10 @@
         .put("request", request.value());
   }
 
-  /** Seconds, rounded up; zero when coming back does not help or could run the request twice. */
+  /**
+   * Returns the retry time in seconds, rounded up; zero if a retry does not help or could run the
+   * request twice.
+   */
   private static long retryAfterSeconds(Refusal refusal) {
     boolean isRetryHarmless =
         refusal.runState() == RunState.NOT_RUN || refusal.retryAfterMillis().isPresent();
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/RejectedRequestException.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/RejectedRequestException.java
@@ -4,7 +4,7 @@
 import org.marjoramsail.core.failure.Refusal;
 import org.marjoramsail.core.failure.RefusalReason;
 
-/** A request that is refused before it is registered; it was not run. */
+/** Thrown when a request is refused before it is registered; the request was not run. */
 final class RejectedRequestException extends MarjoramsailException {
 
   private static final long serialVersionUID = 1L;
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/RequestFactory.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/RequestFactory.java
@@ -19,14 +19,14 @@
 import org.marjoramsail.daemon.request.ClaimRequest;
 import org.marjoramsail.daemon.request.RequestContent;
 
-/** Turns what a caller sent into what a lifecycle needs. */
+/** Creates the profile, content and claim of a request from what its caller sent. */
 final class RequestFactory {
 
   /**
    * A request that is ready to be registered.
    *
-   * @param profile what decisions need
-   * @param content what upstreams get
+   * @param profile properties on which decisions about the request depend
+   * @param content content that is sent to upstreams
    * @param claim the claim that has to be recorded first
    * @param rule the rule that matched
    */
@@ -37,13 +37,13 @@
       RuleDefinition rule) {}
 
   /**
-   * What is known of a request before its body.
+   * Properties of a request that are known before its body is read.
    *
-   * @param id names it
-   * @param receivedAtMillis when it arrived
-   * @param configuration the configuration of that moment
-   * @param organisation whose it is
-   * @param headers what the caller says in headers
+   * @param id identifier of the request
+   * @param receivedAtMillis when the request arrived
+   * @param configuration the configuration at that time
+   * @param organisation organisation of the caller
+   * @param headers parameters that the caller sent in headers
    */
   record Arrival(
       RequestId id,
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/RequestIds.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/RequestIds.java
@@ -4,7 +4,7 @@
 import org.marjoramsail.core.model.DaemonId;
 import org.marjoramsail.core.model.RequestId;
 
-/** Makes identifiers that no other run of any daemon makes. */
+/** Creates identifiers that are unique across all runs of all daemons. */
 final class RequestIds {
 
   private static final int RADIX = 36;
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/RuleMatcher.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/RuleMatcher.java
@@ -10,7 +10,10 @@
 import org.marjoramsail.core.model.Repeatability;
 import org.marjoramsail.core.model.ServiceClass;
 
-/** Finds the rule of a request: the first that matches, or a default that risks no second run. */
+/**
+ * Finds the first rule that matches a request, or a default rule that never allows a second run of
+ * a request that changes state.
+ */
 final class RuleMatcher {
 
   private static final String DEFAULT_NAME = "default";
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/StopPhase.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/StopPhase.java
@@ -2,13 +2,13 @@
 
 import java.util.Locale;
 
-/** How far the caller side has stopped. */
+/** Phases in which the caller server stops. */
 public enum StopPhase {
   /** Serves callers. */
   SERVING(true, true),
-  /** Serves callers, and tells the balancer to send no more. */
+  /** Serves callers, and reports to the load balancer that it is not ready. */
   NOT_READY(false, true),
-  /** Refuses new requests and finishes those that run. */
+  /** Refuses new requests and finishes running ones. */
   FINISHING(false, false),
   /** Has closed all connections. */
   CLOSED(false, false);
@@ -21,17 +21,17 @@
     this.accepting = accepting;
   }
 
-  /** Whether the balancer should send new callers. */
+  /** Returns whether the load balancer should send new requests. */
   public boolean isReady() {
     return ready;
   }
 
-  /** Whether new requests are taken in. */
+  /** Returns whether new requests are accepted. */
   public boolean isAccepting() {
     return accepting;
   }
 
-  /** The phase in lower case with hyphens, as operators see it. */
+  /** Returns the name of the phase in lower case with hyphens, as shown to operators. */
   public String code() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/StreamSink.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/StreamSink.java
@@ -14,11 +14,11 @@
 import org.marjoramsail.daemon.upstream.PlainResponse;
 
 /**
- * Answers token by token as server-sent events.
+ * Streams a completion as server-sent events, one for each token.
  *
- * <p>Guards against the failure in which a reader that takes nothing makes its answer pile up here,
- * or keeps an engine's slot: what waits for it is bounded in bytes and in time, and over a bound
- * the request is ended and the connection closed. An engine is never made to wait for a reader.
+ * <p>Guards against a reader that reads nothing, whose output would fill memory and hold an
+ * engine's slot: buffered output is limited in bytes and in time, and over a limit the request is
+ * ended and the connection closed. An engine never waits for a reader.
  */
 final class StreamSink implements CallerSink {
 
@@ -135,7 +135,7 @@
         Refusal.unknown(RefusalReason.SLOW_READER, detail + limits.maximumBufferedBytes() + "."));
   }
 
-  /** Ends the answer; one whose reader was too slow ends without its rest. */
+  /** Ends the stream. If the reader was too slow, the rest of the stream is discarded. */
   private void finish() {
     if (ended) {
       ForcedClose.close(connection);
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/package-info.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/package-info.java
@@ -1,2 +1,2 @@
-/** What callers say to this daemon: completions, plain services, and typed refusals. */
+/** HTTP interface for callers: completions, plain services, and typed refusals. */
 package org.marjoramsail.daemon.caller;
--- a/daemon/src/test/java/org/marjoramsail/daemon/caller/CallerLimitsTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/caller/CallerLimitsTest.java
@@ -31,8 +31,8 @@
       new CallerLimits(4, 2_048, 4_096, 300, 300, 64 * 1024, 300, 1_000_000, 16);
 
   /**
-   * Longer than any wait of these tests: on a busy machine the engine of a reader that takes
-   * nothing gave no token for a second, was given up, and the reader was refused for that instead.
+   * Exceeds all waiting times of these tests, so that an engine whose reader reads nothing does not
+   * fail first on a busy machine.
    */
   private static final long ENGINE_TIMEOUT_MILLIS = 60_000;
 
@@ -105,7 +105,7 @@
     assertThat(callers.send(request).statusCode()).isEqualTo(401);
   }
 
-  /** A daemon runs out of memory: a caller sends a body without end. */
+  /** Guards against memory exhaustion by a body without end. */
   @Test
   void aBodyOverTheLimitIsRefusedBeforeItIsFullyRead() {
     HttpResponse<String> response = completion("x".repeat(LIMITS.maximumBodyBytes() + 1));
@@ -115,7 +115,7 @@
         .isEqualTo(1);
   }
 
-  /** A daemon runs out of memory: a caller sends headers without end. */
+  /** Guards against memory exhaustion by headers without end. */
   @Test
   void headersOverTheLimitAreRefused() {
     HttpRequest request =
@@ -124,7 +124,7 @@
     assertThat(callers.send(request).statusCode()).isEqualTo(431);
   }
 
-  /** Connections pile up: callers send a head and then their body byte by byte, for ever. */
+  /** Guards against connections that accumulate because callers send their body byte by byte. */
   @Test
   void aCallerThatDoesNotSendItsBodyIsRefusedAfterTheTimeout() {
     NetSocket socket = connect();
@@ -139,7 +139,7 @@
     assertThat(response.get()).startsWith("HTTP/1.1 408");
   }
 
-  /** Connections pile up: callers connect and send no request at all. */
+  /** Guards against connections that accumulate because callers send no request. */
   @Test
   void aConnectionWithoutARequestIsClosedAfterTheTimeout() {
     AtomicBoolean closed = new AtomicBoolean();
@@ -148,14 +148,15 @@
     Waits.until("the connection is closed", closed::get);
   }
 
-  /** New callers find no daemon: one client opens all the connections that there are. */
+  /** Guards against one client that opens all available connections. */
   @Test
   void aConnectionOverTheLimitGetsATypedRefusal() {
     for (int index = 0; index < LIMITS.maximumConnections(); index++) {
       connect();
     }
     Waits.until(
-        "all are open", () -> path.server().openConnections() >= LIMITS.maximumConnections());
+        "all connections are open",
+        () -> path.server().openConnections() >= LIMITS.maximumConnections());
     AtomicReference<String> response = new AtomicReference<>("");
     NetSocket socket = connect();
     socket.handler(bytes -> response.updateAndGet(text -> text + bytes));
@@ -164,7 +165,7 @@
     Waits.until("a refusal", () -> response.get().contains("connection-limit"));
   }
 
-  /** A caller that asks for many tokens and never reads; its socket takes little. */
+  /** Opens a connection that requests many tokens and never reads; its socket buffer is small. */
   private Socket stalledReader(int tokens) throws IOException {
     Socket socket = new Socket();
     socket.setReceiveBufferSize(4_096);
@@ -183,26 +184,25 @@
   }
 
   /**
-   * One caller that reads nothing fills the daemon's memory and keeps an engine's slot, while all
-   * others wait: its response piles up without a bound, and the connection is never closed, since
-   * the close waits behind the bytes that nobody reads.
+   * Guards against a reader that reads nothing: its output would accumulate without limit, its
+   * engine slot would stay taken, and the close would wait behind the unread bytes.
    */
   @Test
   void aStalledReaderIsDisconnectedAndOtherCallersAreServed() throws IOException {
     try (Socket reader = stalledReader(100_000)) {
       Waits.until(
-          "the reader is ended",
+          "the reader is disconnected",
           () -> path.count("requests.refused", "reason", "slow-reader", "run", "unknown") == 1);
       assertThat(callers.send(callers.completion("asistente", 2, false)).statusCode())
           .isEqualTo(200);
-      Waits.until("the request is settled", () -> path.registry().size() == 0);
-      Waits.until("the engine holds nothing", () -> decode.held().isEmpty());
+      Waits.until("the request has ended", () -> path.registry().size() == 0);
+      Waits.until("the engine holds no attempt", () -> decode.held().isEmpty());
       Waits.until("its connection is closed", () -> path.server().openConnections() <= 1);
       assertThat(reader.isConnected()).isTrue();
     }
   }
 
-  /** An engine's slots fill up with requests of neighbours who have closed the page. */
+  /** Guards against engine slots that stay taken by requests of disconnected callers. */
   @Test
   void aDisconnectedCallerFreesTheEngine() {
     decode.then(FakeEngine.Step.STALL_AFTER_THREE);
@@ -217,15 +217,15 @@
             + body.length()
             + "\r\n\r\n"
             + body);
-    Waits.until("tokens came", () -> response.get().contains(FakeEngine.truth(2)));
+    Waits.until("tokens are received", () -> response.get().contains(FakeEngine.truth(2)));
     Waits.get(socket.close());
 
     Waits.until("the engine is free", () -> decode.held().isEmpty());
-    Waits.until("the request is settled", () -> path.registry().size() == 0);
+    Waits.until("the request has ended", () -> path.registry().size() == 0);
     assertThat(path.placement().ended()).hasSize(1);
   }
 
-  /** A planned stop cuts off a summary in the middle of its stream. */
+  /** Guards against a planned stop that breaks running streams. */
   @Test
   void aStopFinishesRunningRequestsAndRefusesNewOnes() {
     path.placement().hold();
@@ -234,9 +234,9 @@
         "POST /v1/completions HTTP/1.1\r\nhost: a\r\nauthorization: Bearer "
             + CallerPath.TOKEN
             + "\r\ncontent-length: 36\r\n\r\n{\"model\":\"asistente\",\"prompt\":\"a b\"}");
-    Waits.until("it waits", () -> path.placement().placed().size() == 1);
+    Waits.until("the request waits for placement", () -> path.placement().placed().size() == 1);
     var stopped = path.server().stop(1, 10_000);
-    Waits.until("it refuses", () -> path.server().phase() == StopPhase.FINISHING);
+    Waits.until("new requests are refused", () -> path.server().phase() == StopPhase.FINISHING);
 
     assertThat(callers.send(callers.completion("asistente", 2, false)).body())
         .contains("stopping")
--- a/daemon/src/test/java/org/marjoramsail/daemon/caller/CompletionEndToEndTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/caller/CompletionEndToEndTest.java
@@ -51,7 +51,7 @@
     assertThat(response.body()).endsWith("data: [DONE]\n\n");
     assertThat(prefill.prefills()).hasSize(1);
     assertThat(decode.decodes().get(0).getJsonObject("kv").getString("handle")).isEqualTo("kv-1");
-    Waits.until("the request is settled", () -> path.registry().size() == 0);
+    Waits.until("the request has ended", () -> path.registry().size() == 0);
     assertThat(path.placement().ended()).hasSize(1);
   }
 
--- a/daemon/src/test/java/org/marjoramsail/daemon/caller/OutcomeFailureTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/caller/OutcomeFailureTest.java
@@ -66,8 +66,8 @@
   }
 
   /**
-   * A clerk gets a summary with a hole or a doubled word: the decode engine dies in mid-stream, and
-   * the retry on another engine starts at the wrong token.
+   * Guards against missing or repeated output when a decode engine fails in mid-stream and the
+   * retry on another engine starts at the wrong token.
    */
   @Test
   void aBrokenStreamIsResumedOnAnotherEngineWithoutGapOrRepeat() {
@@ -81,8 +81,8 @@
   }
 
   /**
-   * A prefill of many seconds is thrown away: the decode engine refuses when it is asked, while the
-   * KV cache still lives, and the retry reads the whole prompt repeated.
+   * Guards against a second prefill of the whole prompt when the decode engine refuses while the KV
+   * cache is still valid.
    */
   @Test
   void aValidKvCacheIsReusedWhenOnlyTheDecodeEngineRefused() {
@@ -96,7 +96,10 @@
     assertThat(second.decodes().get(0).getJsonObject("kv").getString("handle")).isEqualTo("kv-1");
   }
 
-  /** A caller reads another caller's words: frames arrive crossed, late and twice. */
+  /**
+   * Guards against output of another request reaching the caller when frames arrive out of order,
+   * late and twice.
+   */
   @Test
   void framesOfOtherRequestsLateFramesAndRepeatedFramesAreDroppedAndCounted() {
     first.then(Step.MIX_FRAMES);
@@ -110,8 +113,8 @@
   }
 
   /**
-   * A neighbour gets two filing receipts and fears to owe twice: the service ran the request, the
-   * connection broke before the response, and the router sent it repeated.
+   * Guards against a request that runs twice because the connection broke after it ran and before
+   * the response.
    */
   @Test
   void aReceiptWithALostResponseEndsUnknownAndIsNotRetried() {
@@ -125,7 +128,10 @@
     assertThat(plain.runs() + otherPlain.runs()).isEqualTo(1);
   }
 
-  /** A receipt fails although a healthy server stood by: the first said that it had not run it. */
+  /**
+   * Guards against a failed request although another server is healthy and the first one reported
+   * that it had not run the request.
+   */
   @Test
   void aReceiptThatWasNotRunIsSentToAnotherServer() {
     plain.then(FakePlainService.Step.NOT_RUN);
@@ -137,7 +143,10 @@
     assertThat(otherPlain.runs()).isEqualTo(1);
   }
 
-  /** A clerk is told "unknown" of a receipt that never left: the server was down. */
+  /**
+   * Guards against the run state "unknown" for a request that was never sent because no server
+   * accepted a connection.
+   */
   @Test
   void aRequestThatNoServerAcceptedAConnectionForIsReportedNotRun() {
     plain.stop();
@@ -150,7 +159,10 @@
     assertThat(path.count("retries", "reason", "connect-failed")).isEqualTo(2);
   }
 
-  /** A ballot with a key runs twice after a restart: its claim was never recorded anywhere. */
+  /**
+   * Guards against a request with an idempotency key that runs twice after a restart because its
+   * claim was not recorded.
+   */
   @Test
   void aReceiptWithAnIdempotencyKeyIsRefusedWhileThereIsNoStore() {
     HttpResponse<String> response = receipt(Optional.of("ballot-7"));
@@ -160,7 +172,7 @@
     assertThat(plain.runs()).isZero();
   }
 
-  /** A status lookup fails although it may run twice: its response was cut off once. */
+  /** Guards against the failure of an idempotent request whose response was lost once. */
   @Test
   void aLookupWithALostResponseIsRetried() {
     plain.then(FakePlainService.Step.RUN_AND_CUT);
@@ -172,7 +184,10 @@
     assertThat(plain.runs() + otherPlain.runs()).isEqualTo(2);
   }
 
-  /** A generation that may run once is repeated: the stream is cut after its first tokens. */
+  /**
+   * Guards against the repetition of a generation that may run only once, when its stream breaks
+   * after the first tokens.
+   */
   @Test
   void aGenerationThatMayRunOnceEndsUnknownWhenItsStreamBreaks() {
     first.then(Step.CUT_AFTER_THREE);
@@ -187,8 +202,8 @@
   }
 
   /**
-   * An engine stays full of requests that nobody reads: the stream stalls, the request moves on,
-   * and the first cancels to the stalled engine are lost.
+   * Guards against an engine that stays full of abandoned requests because the first cancels to it
+   * were lost.
    */
   @Test
   void aCancelIsRepeatedUntilTheStalledEngineConfirmsIt() {
@@ -198,13 +213,13 @@
     HttpResponse<String> response = callers.send(callers.completion("asistente", 5, false));
 
     assertThat(response.body()).contains("\"text\":\"" + FakeEngine.truthOf(5) + "\"");
-    Waits.until("nothing is held", () -> first.held().isEmpty());
-    Waits.until("the request is settled", () -> path.registry().size() == 0);
+    Waits.until("the engine holds no attempt", () -> first.held().isEmpty());
+    Waits.until("the request has ended", () -> path.registry().size() == 0);
   }
 
   /**
-   * The same prompt takes down one engine after another: each retry, and each time that the caller
-   * sends it again, kills the next.
+   * Guards against a prompt that crashes one engine after another through retries and through
+   * repeated requests of its caller.
    */
   @Test
   void aPromptThatCrashedTwoEnginesIsRefusedAndOthersAreServed() {
