--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -309,7 +309,8 @@
         generation
             ? dependencies
                 .forecast()
-                .expectedTokens(route.name(), parameters.outputTokens(), parameters.expectedTokens())
+                .expectedTokens(
+                    route.name(), parameters.outputTokens(), parameters.expectedTokens())
             : 0;
     return new RequestProfile(
         new RequestId(parameters.attempt() + "." + dependencies.daemon().host() + "." + sequence++),
