--- a/daemon/src/main/java/org/marjoramsail/daemon/metrics/RequestMetrics.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/metrics/RequestMetrics.java
@@ -18,7 +18,7 @@
 import org.marjoramsail.core.outcome.Invariant;
 import org.marjoramsail.core.outcome.Invariants;
 import org.marjoramsail.core.outcome.RetryBudget;
-import org.marjoramsail.daemon.request.Lateness;
+import org.marjoramsail.daemon.request.LatencyViolation;
 
 /**
  * Metrics of requests.
@@ -33,7 +33,7 @@
   private final Map<RunState, Map<RefusalReason, Counter>> refused = new EnumMap<>(RunState.class);
   private final Map<RetryReason, Counter> retries;
   private final Map<DropReason, Counter> drops;
-  private final Map<Lateness, Counter> latencyViolations;
+  private final Map<LatencyViolation, Counter> latencyViolations;
   private final Counter accepted;
   private final Counter completed;
   private final Counter withinTargets;
@@ -56,7 +56,8 @@
     }
     this.retries = perReason(registry, RetryReason.class, "retries", RetryReason::code);
     this.drops = perReason(registry, DropReason.class, "drops", DropReason::code);
-    this.latencyViolations = perReason(registry, Lateness.class, "requests.late", Lateness::code);
+    this.latencyViolations =
+        perReason(registry, LatencyViolation.class, "requests.late", LatencyViolation::code);
     this.accepted = registry.counter(PREFIX + "requests.accepted");
     this.completed = registry.counter(PREFIX + "requests.completed");
     this.withinTargets = registry.counter(PREFIX + "requests.within.targets");
@@ -130,7 +131,7 @@
   }
 
   /** Counts a request that violated its latency targets. */
-  public void latencyViolated(Lateness cause) {
+  public void latencyViolated(LatencyViolation cause) {
     latencyViolations.get(cause).increment();
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/Lateness.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/LatencyViolation.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Why an answer was late; the first that holds. */
-public enum Lateness {
+public enum LatencyViolation {
   /** The first piece, or the whole plain answer, came after its target. */
   FIRST_SIGN,
   /** A pause between two pieces was longer than the route allows. */
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestLog.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestLog.java
@@ -59,10 +59,10 @@
   }
 
   /** Writes the way of a request that has ended. */
-  void ended(RequestView view, Optional<Lateness> lateness) {
+  void ended(RequestView view, Optional<LatencyViolation> violation) {
     boolean remarkable =
         view.steps().stream().anyMatch(step -> REMARKABLE.contains(step.kind()))
-            || lateness.isPresent();
+            || violation.isPresent();
     if (!remarkable && ordinary.getAndIncrement() % SAMPLE != 0) {
       return;
     }
@@ -82,7 +82,7 @@
         .addKeyValue("attempts", view.attempt())
         .addKeyValue("pieces", view.emittedTokens())
         .addKeyValue("tookMillis", view.ageMillis())
-        .addKeyValue("late", lateness.map(Lateness::code).orElse("no"))
+        .addKeyValue("late", violation.map(LatencyViolation::code).orElse("no"))
         .addKeyValue("longestPause", view.longestPause().map(StreamPause::toString).orElse("none"))
         .addKeyValue("sampled", !remarkable)
         .addKeyValue("way", way.toString())
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
@@ -133,9 +133,9 @@
       }
       shard.ended.addLast(view);
     }
-    Optional<Lateness> lateness = request.timeliness().latenessOf(view);
-    lateness.ifPresent(metrics::latencyViolated);
-    log.ended(view, lateness);
+    Optional<LatencyViolation> violation = request.timeliness().latenessOf(view);
+    violation.ifPresent(metrics::latencyViolated);
+    log.ended(view, violation);
   }
 
   /** Tells all requests that an upstream has started anew, or is gone for good. */
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/Timeliness.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/Timeliness.java
@@ -14,13 +14,13 @@
   public static final long ANY_PAUSE = Long.MAX_VALUE;
 
   /** Why the answer of a request was late, if it was. */
-  Optional<Lateness> latenessOf(RequestView ended) {
+  Optional<LatencyViolation> latenessOf(RequestView ended) {
     if (ended.firstSignMillis() > firstSignMillis) {
-      return Optional.of(Lateness.FIRST_SIGN);
+      return Optional.of(LatencyViolation.FIRST_SIGN);
     }
     return ended
         .longestPause()
         .filter(pause -> pause.millis() > longestPauseMillis)
-        .map(pause -> Lateness.PAUSE);
+        .map(pause -> LatencyViolation.PAUSE);
   }
 }
