--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHandler.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHandler.java
@@ -14,9 +14,9 @@
 import org.marjoramsail.core.model.RequestId;
 import org.marjoramsail.daemon.request.CallerSink;
 import org.marjoramsail.daemon.request.CompletionSender;
+import org.marjoramsail.daemon.request.LatencyTargets;
 import org.marjoramsail.daemon.request.NewRequest;
 import org.marjoramsail.daemon.request.RequestHandle;
-import org.marjoramsail.daemon.request.Timeliness;
 
 /** Handles one HTTP request from its head to its registration. */
 final class CallerHandler {
@@ -154,10 +154,10 @@
                         prepared.profile(), prepared.content(), sink, dependencies.upstreams()),
                     prepared.claim(),
                     prepared.rule().perTokenTargetMillis(),
-                    new Timeliness(
+                    new LatencyTargets(
                         prepared.profile().firstTokenAtMillis()
                             - prepared.profile().receivedAtMillis(),
-                        Timeliness.ANY_PAUSE),
+                        LatencyTargets.ANY_PAUSE),
                     sink,
                     task -> context.runOnContext(ignored -> task.run())));
     request.response().closeHandler(closed -> handle.callerDisconnected());
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardServer.java
@@ -31,9 +31,9 @@
 import org.marjoramsail.core.routing.PlainResponseTimes;
 import org.marjoramsail.core.routing.Route;
 import org.marjoramsail.core.routing.RoutingConfiguration;
+import org.marjoramsail.daemon.request.LatencyTargets;
 import org.marjoramsail.daemon.request.NewRequest;
 import org.marjoramsail.daemon.request.RequestHandle;
-import org.marjoramsail.daemon.request.Timeliness;
 
 /** HTTP server for callers whose requests are forwarded unchanged. Runs on one event loop. */
 public final class ForwardServer {
@@ -293,7 +293,7 @@
                     exchange,
                     Optional.empty(),
                     route.gapTargetMillis(),
-                    new Timeliness(route.targetMillis(), route.gapTargetMillis()),
+                    new LatencyTargets(route.targetMillis(), route.gapTargetMillis()),
                     exchange,
                     task -> context.runOnContext(ignored -> task.run())));
     request.response().closeHandler(closed -> handle.callerDisconnected());
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/Timeliness.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/LatencyTargets.java
@@ -8,7 +8,7 @@
  * @param firstSignMillis how long the first piece, or a whole plain answer, may take
  * @param longestPauseMillis how long the pause between two pieces may be
  */
-public record Timeliness(long firstSignMillis, long longestPauseMillis) {
+public record LatencyTargets(long firstSignMillis, long longestPauseMillis) {
 
   /** Where only the mean time between pieces counts. */
   public static final long ANY_PAUSE = Long.MAX_VALUE;
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/NewRequest.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/NewRequest.java
@@ -13,7 +13,7 @@
  * @param sender brings its attempts to upstreams
  * @param claim the claim that has to be recorded first
  * @param perTokenTargetMillis target between tokens on average, for the measures
- * @param timeliness when its answer counts as in time
+ * @param latencyTargets when its answer counts as in time
  * @param sink where its answer goes
  * @param home runs tasks one after another; the sink is called on it
  */
@@ -23,6 +23,6 @@
     AttemptSender sender,
     Optional<ClaimRequest> claim,
     long perTokenTargetMillis,
-    Timeliness timeliness,
+    LatencyTargets latencyTargets,
     CallerSink sink,
     Executor home) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
@@ -133,7 +133,7 @@
       }
       shard.ended.addLast(view);
     }
-    Optional<LatencyViolation> violation = request.timeliness().latenessOf(view);
+    Optional<LatencyViolation> violation = request.latencyTargets().latenessOf(view);
     violation.ifPresent(metrics::latencyViolated);
     log.ended(view, violation);
   }
