--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHandler.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/CallerHandler.java
@@ -157,7 +157,7 @@
                     new LatencyTargets(
                         prepared.profile().firstTokenAtMillis()
                             - prepared.profile().receivedAtMillis(),
-                        LatencyTargets.ANY_PAUSE),
+                        LatencyTargets.NO_GAP_LIMIT),
                     sink,
                     task -> context.runOnContext(ignored -> task.run())));
     request.response().closeHandler(closed -> handle.callerDisconnected());
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/LatencyTargets.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/LatencyTargets.java
@@ -5,22 +5,22 @@
 /**
  * When an answer counts as in time.
  *
- * @param firstSignMillis how long the first piece, or a whole plain answer, may take
- * @param longestPauseMillis how long the pause between two pieces may be
+ * @param firstOutputMillis how long the first piece, or a whole plain answer, may take
+ * @param maximumGapMillis how long the pause between two pieces may be
  */
-public record LatencyTargets(long firstSignMillis, long longestPauseMillis) {
+public record LatencyTargets(long firstOutputMillis, long maximumGapMillis) {
 
   /** Where only the mean time between pieces counts. */
-  public static final long ANY_PAUSE = Long.MAX_VALUE;
+  public static final long NO_GAP_LIMIT = Long.MAX_VALUE;
 
   /** Why the answer of a request was late, if it was. */
-  Optional<LatencyViolation> latenessOf(RequestView ended) {
-    if (ended.firstSignMillis() > firstSignMillis) {
+  Optional<LatencyViolation> violationOf(RequestView ended) {
+    if (ended.firstOutputMillis() > firstOutputMillis) {
       return Optional.of(LatencyViolation.FIRST_SIGN);
     }
     return ended
         .longestPause()
-        .filter(pause -> pause.millis() > longestPauseMillis)
+        .filter(pause -> pause.millis() > maximumGapMillis)
         .map(pause -> LatencyViolation.PAUSE);
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
@@ -133,7 +133,7 @@
       }
       shard.ended.addLast(view);
     }
-    Optional<LatencyViolation> violation = request.latencyTargets().latenessOf(view);
+    Optional<LatencyViolation> violation = request.latencyTargets().violationOf(view);
     violation.ifPresent(metrics::latencyViolated);
     log.ended(view, violation);
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestView.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestView.java
@@ -40,7 +40,7 @@
     Optional<StreamPause> longestPause) {
 
   /** After how long the caller had a first piece or a whole answer; zero where it got none. */
-  long firstSignMillis() {
+  long firstOutputMillis() {
     return steps.stream()
         .filter(step -> step.kind() == TraceKind.FIRST_TOKEN || step.kind() == TraceKind.COMPLETED)
         .mapToLong(TraceStep::afterMillis)
