--- a/daemon/src/main/java/org/marjoramsail/daemon/request/LiveRequest.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/LiveRequest.java
@@ -18,7 +18,7 @@
   private final Object shardLock;
   private final Executor home;
   private final Clock clock;
-  private final DelayedTasks timers;
+  private final TaskScheduler scheduler;
   private final RequestLifecycle lifecycle;
   private final RequestTrace trace;
   private final ActionRunner runner;
@@ -32,14 +32,14 @@
       Object shardLock,
       Executor home,
       Clock clock,
-      DelayedTasks timers,
+      TaskScheduler scheduler,
       RequestLifecycle lifecycle,
       ActionRunner runner,
       Runnable settled) {
     this.shardLock = shardLock;
     this.home = home;
     this.clock = clock;
-    this.timers = timers;
+    this.scheduler = scheduler;
     this.lifecycle = lifecycle;
     this.trace = new RequestTrace(lifecycle.profile().receivedAtMillis());
     this.runner = runner;
@@ -130,7 +130,7 @@
       return;
     }
     timerAtMillis = atMillis;
-    timers.schedule(Math.max(1, atMillis - clock.millis()), () -> timerFired(atMillis));
+    scheduler.schedule(Math.max(1, atMillis - clock.millis()), () -> timerFired(atMillis));
   }
 
   private void timerFired(long atMillis) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
@@ -40,7 +40,7 @@
   private final RequestMetrics metrics;
   private final RequestLog log;
   private final Clock clock;
-  private final DelayedTasks timers;
+  private final TaskScheduler scheduler;
   private final RandomGenerator random;
   private final List<Shard> shards;
   private final Map<String, RetryBudget> budgets = new ConcurrentHashMap<>();
@@ -53,7 +53,7 @@
    * @param metrics what is counted
    * @param log what is written of requests
    * @param clock tells the time
-   * @param timers wakes requests
+   * @param scheduler wakes requests
    * @param random for the jitter of back-off; safe for several threads
    */
   public RequestRegistry(
@@ -62,14 +62,14 @@
       RequestMetrics metrics,
       RequestLog log,
       Clock clock,
-      DelayedTasks timers,
+      TaskScheduler scheduler,
       RandomGenerator random) {
     this.dependencies = dependencies;
     this.rules = rules;
     this.metrics = metrics;
     this.log = log;
     this.clock = clock;
-    this.timers = timers;
+    this.scheduler = scheduler;
     this.random = random;
     this.shards = IntStream.range(0, SHARDS).mapToObj(unused -> new Shard()).toList();
     metrics.registerRunning(this::size);
@@ -110,7 +110,7 @@
             clock,
             request.perTokenTargetMillis());
     return new LiveRequest(
-        shard, request.home(), clock, timers, lifecycle, runner, () -> settled(shard, request));
+        shard, request.home(), clock, scheduler, lifecycle, runner, () -> settled(shard, request));
   }
 
   private RetryBudget newBudget(String service) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/DelayedTasks.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/TaskScheduler.java
@@ -2,7 +2,7 @@
 
 /** Runs tasks later, on any thread. */
 @FunctionalInterface
-public interface DelayedTasks {
+public interface TaskScheduler {
 
   /**
    * Runs a task once.
