--- a/daemon/src/main/java/org/marjoramsail/daemon/request/LatencyTargets.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/LatencyTargets.java
@@ -19,8 +19,8 @@
       return Optional.of(LatencyViolation.FIRST_SIGN);
     }
     return ended
-        .longestPause()
-        .filter(pause -> pause.millis() > maximumGapMillis)
-        .map(pause -> LatencyViolation.PAUSE);
+        .longestGap()
+        .filter(gap -> gap.millis() > maximumGapMillis)
+        .map(gap -> LatencyViolation.PAUSE);
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/LiveRequest.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/LiveRequest.java
@@ -83,7 +83,7 @@
           lifecycle.emittedTokens(),
           clock.millis() - lifecycle.profile().receivedAtMillis(),
           trace.steps(),
-          trace.longestPause());
+          trace.longestGap());
     }
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestLog.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestLog.java
@@ -83,7 +83,7 @@
         .addKeyValue("pieces", view.emittedTokens())
         .addKeyValue("tookMillis", view.ageMillis())
         .addKeyValue("late", violation.map(LatencyViolation::code).orElse("no"))
-        .addKeyValue("longestPause", view.longestPause().map(StreamPause::toString).orElse("none"))
+        .addKeyValue("longestPause", view.longestGap().map(InterChunkGap::toString).orElse("none"))
         .addKeyValue("sampled", !remarkable)
         .addKeyValue("way", way.toString())
         .addKeyValue("beliefs", beliefs.get())
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestTrace.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestTrace.java
@@ -13,9 +13,9 @@
   private static final int MAXIMUM_LATER_STEPS = 23;
 
   private final long receivedAtMillis;
-  private Optional<UpstreamName> generating = Optional.empty();
-  private Optional<StreamPause> longestPause = Optional.empty();
-  private long lastPieceAtMillis;
+  private Optional<UpstreamName> generatingUpstream = Optional.empty();
+  private Optional<InterChunkGap> longestGap = Optional.empty();
+  private long lastChunkAtMillis;
   private Optional<TraceStep> first = Optional.empty();
   private final Deque<TraceStep> later = new ArrayDeque<>(4);
 
@@ -30,7 +30,7 @@
       Optional<UpstreamName> upstream,
       Optional<String> reason) {
     if (kind == TraceKind.DECODE_SENT) {
-      generating = upstream;
+      generatingUpstream = upstream;
     }
     TraceStep step = new TraceStep(nowMillis - receivedAtMillis, kind, attempt, upstream, reason);
     if (first.isEmpty()) {
@@ -44,18 +44,18 @@
   }
 
   /** Records that the caller was given a piece; the first has the index zero. */
-  void piece(long nowMillis, int index) {
-    long pauseMillis = nowMillis - lastPieceAtMillis;
-    boolean longer = longestPause.filter(known -> known.millis() >= pauseMillis).isEmpty();
-    if (index > 0 && longer && generating.isPresent()) {
-      longestPause = Optional.of(new StreamPause(index, pauseMillis, generating.get()));
+  void recordChunk(long nowMillis, int index) {
+    long gapMillis = nowMillis - lastChunkAtMillis;
+    boolean longer = longestGap.filter(known -> known.millis() >= gapMillis).isEmpty();
+    if (index > 0 && longer && generatingUpstream.isPresent()) {
+      longestGap = Optional.of(new InterChunkGap(index, gapMillis, generatingUpstream.get()));
     }
-    lastPieceAtMillis = nowMillis;
+    lastChunkAtMillis = nowMillis;
   }
 
   /** The longest pause so far; empty before the second piece. */
-  Optional<StreamPause> longestPause() {
-    return longestPause;
+  Optional<InterChunkGap> longestGap() {
+    return longestGap;
   }
 
   List<TraceStep> steps() {
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestView.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestView.java
@@ -22,7 +22,7 @@
  * @param emittedTokens how many tokens the caller has
  * @param ageMillis since it arrived
  * @param steps its way so far, bounded
- * @param longestPause the longest pause between two pieces so far
+ * @param longestGap the longest pause between two pieces so far
  */
 public record RequestView(
     RequestId request,
@@ -37,7 +37,7 @@
     int emittedTokens,
     long ageMillis,
     List<TraceStep> steps,
-    Optional<StreamPause> longestPause) {
+    Optional<InterChunkGap> longestGap) {
 
   /** After how long the caller had a first piece or a whole answer; zero where it got none. */
   long firstOutputMillis() {
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/Tracing.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/Tracing.java
@@ -38,7 +38,7 @@
   private static void noteAction(
       RequestTrace trace, long nowMillis, int attempt, LifecycleAction action) {
     if (action instanceof LifecycleAction.EmitToken token) {
-      trace.piece(nowMillis, token.index());
+      trace.recordChunk(nowMillis, token.index());
       if (token.index() == 0) {
         add(trace, nowMillis, TraceKind.FIRST_TOKEN, attempt, Optional.empty());
       }
