--- a/daemon/src/main/java/org/marjoramsail/daemon/assembly/RuntimeState.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/assembly/RuntimeState.java
@@ -61,12 +61,12 @@
 
   @Override
   public List<RequestView> requests() {
-    return requests.registry.views().stream().map(RuntimeState::view).toList();
+    return requests.registry.snapshots().stream().map(RuntimeState::view).toList();
   }
 
   @Override
   public Optional<RequestView> request(RequestId request) {
-    return requests.registry.view(request).map(RuntimeState::view);
+    return requests.registry.snapshot(request).map(RuntimeState::view);
   }
 
   @Override
@@ -130,7 +130,7 @@
         DaemonRuntime.CRASH_LIFETIME_MILLIS - entry.expiresInMillis());
   }
 
-  private static RequestView view(org.marjoramsail.daemon.request.RequestView view) {
+  private static RequestView view(org.marjoramsail.daemon.request.RequestSnapshot view) {
     return new RequestView(
         view.request(),
         view.organisation(),
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/LatencyTargets.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/LatencyTargets.java
@@ -14,7 +14,7 @@
   public static final long NO_GAP_LIMIT = Long.MAX_VALUE;
 
   /** Why the answer of a request was late, if it was. */
-  Optional<LatencyViolation> violationOf(RequestView ended) {
+  Optional<LatencyViolation> violationOf(RequestSnapshot ended) {
     if (ended.firstOutputMillis() > firstOutputMillis) {
       return Optional.of(LatencyViolation.FIRST_SIGN);
     }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/LiveRequest.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/LiveRequest.java
@@ -68,9 +68,9 @@
   }
 
   /** What operators see; takes the shard's lock. */
-  RequestView view() {
+  RequestSnapshot snapshot() {
     synchronized (shardLock) {
-      return new RequestView(
+      return new RequestSnapshot(
           lifecycle.profile().id(),
           lifecycle.profile().service(),
           lifecycle.profile().organisation(),
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestLog.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestLog.java
@@ -59,15 +59,15 @@
   }
 
   /** Writes the way of a request that has ended. */
-  void ended(RequestView view, Optional<LatencyViolation> violation) {
+  void ended(RequestSnapshot snapshot, Optional<LatencyViolation> violation) {
     boolean remarkable =
-        view.steps().stream().anyMatch(step -> REMARKABLE.contains(step.kind()))
+        snapshot.steps().stream().anyMatch(step -> REMARKABLE.contains(step.kind()))
             || violation.isPresent();
     if (!remarkable && ordinary.getAndIncrement() % SAMPLE != 0) {
       return;
     }
     StringJoiner way = new StringJoiner("; ");
-    for (TraceStep step : view.steps()) {
+    for (TraceStep step : snapshot.steps()) {
       StringBuilder text = new StringBuilder();
       text.append(step.afterMillis()).append(" ms ").append(step.kind().code());
       text.append(" #").append(step.attempt());
@@ -76,14 +76,15 @@
       way.add(text);
     }
     LOG.atInfo()
-        .addKeyValue("request", view.request().value())
-        .addKeyValue("service", view.service())
-        .addKeyValue("rule", view.rule())
-        .addKeyValue("attempts", view.attempt())
-        .addKeyValue("pieces", view.emittedTokens())
-        .addKeyValue("tookMillis", view.ageMillis())
+        .addKeyValue("request", snapshot.request().value())
+        .addKeyValue("service", snapshot.service())
+        .addKeyValue("rule", snapshot.rule())
+        .addKeyValue("attempts", snapshot.attempt())
+        .addKeyValue("pieces", snapshot.emittedTokens())
+        .addKeyValue("tookMillis", snapshot.ageMillis())
         .addKeyValue("late", violation.map(LatencyViolation::code).orElse("no"))
-        .addKeyValue("longestPause", view.longestGap().map(InterChunkGap::toString).orElse("none"))
+        .addKeyValue(
+            "longestPause", snapshot.longestGap().map(InterChunkGap::toString).orElse("none"))
         .addKeyValue("sampled", !remarkable)
         .addKeyValue("way", way.toString())
         .addKeyValue("beliefs", beliefs.get())
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
@@ -32,7 +32,7 @@
 
   private static final class Shard {
     private final Map<RequestId, LiveRequest> live = new HashMap<>();
-    private final Deque<RequestView> ended = new ArrayDeque<>();
+    private final Deque<RequestSnapshot> ended = new ArrayDeque<>();
   }
 
   private final RequestDependencies dependencies;
@@ -121,21 +121,21 @@
 
   private void settled(Shard shard, NewRequest request) {
     RequestProfile profile = request.profile();
-    RequestView view;
+    RequestSnapshot snapshot;
     synchronized (shard) {
       LiveRequest live = shard.live.remove(profile.id());
       if (live == null) {
         return;
       }
-      view = live.view();
+      snapshot = live.snapshot();
       if (shard.ended.size() == ENDED_PER_SHARD) {
         shard.ended.removeFirst();
       }
-      shard.ended.addLast(view);
+      shard.ended.addLast(snapshot);
     }
-    Optional<LatencyViolation> violation = request.latencyTargets().violationOf(view);
+    Optional<LatencyViolation> violation = request.latencyTargets().violationOf(snapshot);
     violation.ifPresent(metrics::latencyViolated);
-    log.ended(view, violation);
+    log.ended(snapshot, violation);
   }
 
   /** Tells all requests that an upstream has started anew, or is gone for good. */
@@ -162,24 +162,25 @@
   }
 
   /** Where a request is, or was when it ended a short time ago. */
-  public Optional<RequestView> view(RequestId id) {
+  public Optional<RequestSnapshot> snapshot(RequestId id) {
     Shard shard = shard(id);
     synchronized (shard) {
-      Optional<RequestView> live = Optional.ofNullable(shard.live.get(id)).map(LiveRequest::view);
+      Optional<RequestSnapshot> live =
+          Optional.ofNullable(shard.live.get(id)).map(LiveRequest::snapshot);
       return live.or(
-          () -> shard.ended.stream().filter(view -> view.request().equals(id)).findFirst());
+          () -> shard.ended.stream().filter(snapshot -> snapshot.request().equals(id)).findFirst());
     }
   }
 
   /** All requests that are registered now. */
-  public List<RequestView> views() {
-    List<RequestView> views = new ArrayList<>();
+  public List<RequestSnapshot> snapshots() {
+    List<RequestSnapshot> snapshots = new ArrayList<>();
     for (Shard shard : shards) {
       synchronized (shard) {
-        shard.live.values().forEach(live -> views.add(live.view()));
+        shard.live.values().forEach(live -> snapshots.add(live.snapshot()));
       }
     }
-    return views;
+    return snapshots;
   }
 
   private Shard shard(RequestId id) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestView.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestSnapshot.java
@@ -24,7 +24,7 @@
  * @param steps its way so far, bounded
  * @param longestGap the longest pause between two pieces so far
  */
-public record RequestView(
+public record RequestSnapshot(
     RequestId request,
     String service,
     String organisation,
@@ -49,7 +49,7 @@
   }
 
   /** Copies the list, so that the value cannot change. */
-  public RequestView {
+  public RequestSnapshot {
     steps = List.copyOf(steps);
   }
 }
