--- a/daemon/src/main/java/org/marjoramsail/daemon/request/LiveRequest.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/LiveRequest.java
@@ -105,7 +105,7 @@
       }
       long nowMillis = clock.millis();
       actions = lifecycle.handle(event, nowMillis);
-      Tracing.note(trace, nowMillis, lifecycle, event, actions);
+      TraceRecorder.recordEvent(trace, nowMillis, lifecycle, event, actions);
     }
     actions.forEach(action -> runner.run(action, this::deliver));
     afterwards();
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/Tracing.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/TraceRecorder.java
@@ -9,11 +9,11 @@
 import org.marjoramsail.core.outcome.RequestLifecycle;
 
 /** Notes the steps of a request that tell an operator how it got where it is. */
-final class Tracing {
+final class TraceRecorder {
 
-  private Tracing() {}
+  private TraceRecorder() {}
 
-  static void note(
+  static void recordEvent(
       RequestTrace trace,
       long nowMillis,
       RequestLifecycle lifecycle,
@@ -32,10 +32,10 @@
     } else if (event instanceof LifecycleEvent.CallerDisconnected) {
       add(trace, nowMillis, TraceKind.CALLER_GONE, lifecycle.attempt(), Optional.empty());
     }
-    actions.forEach(action -> noteAction(trace, nowMillis, lifecycle.attempt(), action));
+    actions.forEach(action -> recordAction(trace, nowMillis, lifecycle.attempt(), action));
   }
 
-  private static void noteAction(
+  private static void recordAction(
       RequestTrace trace, long nowMillis, int attempt, LifecycleAction action) {
     if (action instanceof LifecycleAction.EmitToken token) {
       trace.recordChunk(nowMillis, token.index());
@@ -56,11 +56,11 @@
           cancel.attempt(),
           Optional.of(cancel.upstream()));
     } else {
-      noteDecision(trace, nowMillis, attempt, action);
+      recordDecision(trace, nowMillis, attempt, action);
     }
   }
 
-  private static void noteDecision(
+  private static void recordDecision(
       RequestTrace trace, long nowMillis, int attempt, LifecycleAction action) {
     if (action instanceof LifecycleAction.Place) {
       add(trace, nowMillis, TraceKind.PLACEMENT_ASKED, attempt, Optional.empty());
