--- a/daemon/src/main/java/org/marjoramsail/daemon/assembly/RequestParts.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/assembly/RequestParts.java
@@ -21,7 +21,7 @@
 import org.marjoramsail.daemon.caller.CallerServer;
 import org.marjoramsail.daemon.metrics.RequestMetrics;
 import org.marjoramsail.daemon.request.ClaimGate;
-import org.marjoramsail.daemon.request.OutcomeRules;
+import org.marjoramsail.daemon.request.LifecycleDependencies;
 import org.marjoramsail.daemon.request.RequestDependencies;
 import org.marjoramsail.daemon.request.RequestLog;
 import org.marjoramsail.daemon.request.RequestRegistry;
@@ -58,7 +58,7 @@
     this.registry =
         new RequestRegistry(
             new RequestDependencies(placement, claims),
-            new OutcomeRules(quarantine, invariants, () -> new RetryBudget(RETRY_RESERVE)),
+            new LifecycleDependencies(quarantine, invariants, () -> new RetryBudget(RETRY_RESERVE)),
             metrics,
             new RequestLog(() -> "configuration " + configuration.get().revision()),
             clock,
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/OutcomeRules.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/LifecycleDependencies.java
@@ -12,5 +12,5 @@
  * @param invariants what to do when the program itself is at fault
  * @param budgets makes the retry budget of a service, once for each
  */
-public record OutcomeRules(
+public record LifecycleDependencies(
     Quarantine quarantine, Invariants invariants, Supplier<RetryBudget> budgets) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
@@ -36,7 +36,7 @@
   }
 
   private final RequestDependencies dependencies;
-  private final OutcomeRules rules;
+  private final LifecycleDependencies lifecycleDependencies;
   private final RequestMetrics metrics;
   private final RequestLog log;
   private final Clock clock;
@@ -49,7 +49,7 @@
    * Starts empty.
    *
    * @param dependencies whom requests need
-   * @param rules what all requests share in their decisions
+   * @param lifecycleDependencies what all requests share in their decisions
    * @param metrics what is counted
    * @param log what is written of requests
    * @param clock tells the time
@@ -58,14 +58,14 @@
    */
   public RequestRegistry(
       RequestDependencies dependencies,
-      OutcomeRules rules,
+      LifecycleDependencies lifecycleDependencies,
       RequestMetrics metrics,
       RequestLog log,
       Clock clock,
       TaskScheduler scheduler,
       RandomGenerator random) {
     this.dependencies = dependencies;
-    this.rules = rules;
+    this.lifecycleDependencies = lifecycleDependencies;
     this.metrics = metrics;
     this.log = log;
     this.clock = clock;
@@ -95,8 +95,8 @@
             profile,
             request.policy(),
             budgets.computeIfAbsent(profile.service(), this::newBudget),
-            rules.quarantine(),
-            rules.invariants(),
+            lifecycleDependencies.quarantine(),
+            lifecycleDependencies.invariants(),
             random);
     ActionRunner runner =
         new ActionRunner(
@@ -114,7 +114,7 @@
   }
 
   private RetryBudget newBudget(String service) {
-    RetryBudget budget = rules.budgets().get();
+    RetryBudget budget = lifecycleDependencies.budgets().get();
     metrics.registerRetryBudget(service, budget);
     return budget;
   }
