--- a/daemon/src/main/java/org/marjoramsail/daemon/assembly/DaemonRuntime.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/assembly/DaemonRuntime.java
@@ -60,7 +60,7 @@
 import org.marjoramsail.daemon.placement.DistributedPlacement;
 import org.marjoramsail.daemon.platform.HttpObjectApi;
 import org.marjoramsail.daemon.platform.HttpObjectApiSettings;
-import org.marjoramsail.daemon.request.OutcomeObserver;
+import org.marjoramsail.daemon.request.CrashObserver;
 import org.marjoramsail.daemon.request.StoredClaims;
 import org.marjoramsail.daemon.settings.Settings;
 import org.marjoramsail.daemon.upstream.CacheEventPoller;
@@ -94,7 +94,7 @@
   private final PlacementParts placementParts;
   private final UpstreamStatusPoller poller;
   private final RequestParts requests;
-  private final OutcomeObserver outcomes;
+  private final CrashObserver outcomes;
   private final OrphanCanceller orphans;
   private final HostListParts hosts;
   private final OrderService orders;
@@ -165,7 +165,7 @@
             random);
     this.requests = requestParts(upstreams, invariants, random, json);
     this.outcomes =
-        new OutcomeObserver(quarantine, requests.registry, this::tellAll, placementParts, clock);
+        new CrashObserver(quarantine, requests.registry, this::tellAll, placementParts, clock);
     this.orphans = new OrphanCanceller(upstreams.engines, placementParts::watched, clock, meters);
     this.hosts = new HostListParts(vertx, platform, membership, placementParts, random, meters);
     this.orders =
@@ -306,7 +306,7 @@
   @Override
   public boolean lift(long fingerprint) {
     boolean isLifted = quarantine.lift(fingerprint, clock.millis());
-    outcomes.tellOthers();
+    outcomes.broadcastMessages();
     return isLifted;
   }
 
@@ -318,7 +318,7 @@
     hosts.start();
     orders.start();
     poller.start(outcomes);
-    vertx.setPeriodic(CRASH_SPREAD_MILLIS, timer -> outcomes.tellOthers());
+    vertx.setPeriodic(CRASH_SPREAD_MILLIS, timer -> outcomes.broadcastMessages());
     vertx.setPeriodic(ORPHAN_TICK_MILLIS, timer -> orphans.tick());
     return requests.callers.start();
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/OutcomeObserver.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/CrashObserver.java
@@ -16,9 +16,9 @@
  * Learns from polls which upstreams crashed: tells the quarantine, the requests that ran there and
  * the other daemons, and passes the poll on.
  */
-public final class OutcomeObserver implements UpstreamObserver {
+public final class CrashObserver implements UpstreamObserver {
 
-  private static final Logger LOG = LoggerFactory.getLogger(OutcomeObserver.class);
+  private static final Logger LOG = LoggerFactory.getLogger(CrashObserver.class);
 
   private final Quarantine quarantine;
   private final RequestRegistry registry;
@@ -35,7 +35,7 @@
    * @param next hears every poll after this
    * @param clock tells the time
    */
-  public OutcomeObserver(
+  public CrashObserver(
       Quarantine quarantine,
       RequestRegistry registry,
       Consumer<CrashReportMessage> broadcast,
@@ -49,8 +49,8 @@
   }
 
   @Override
-  public void load(LoadReport report, long askedAtMillis) {
-    long asOfMillis = askedAtMillis - report.ageMillis();
+  public void load(LoadReport report, long requestedAtMillis) {
+    long asOfMillis = requestedAtMillis - report.ageMillis();
     boolean restarted =
         quarantine.incarnation(report.upstream(), report.incarnation(), asOfMillis, clock.millis());
     if (restarted) {
@@ -60,8 +60,8 @@
           .log("upstream has started anew");
       registry.upstreamRestarted(report.upstream());
     }
-    tellOthers();
-    next.load(report, askedAtMillis);
+    broadcastMessages();
+    next.load(report, requestedAtMillis);
   }
 
   @Override
@@ -73,13 +73,13 @@
   public void unreachable(UpstreamName upstream, boolean connectionRefused) {
     if (connectionRefused) {
       quarantine.connectionsRefused(upstream, clock.millis());
-      tellOthers();
+      broadcastMessages();
     }
     next.unreachable(upstream, connectionRefused);
   }
 
   /** Sends what the quarantine has found or an operator has lifted; cheap when there is nothing. */
-  public void tellOthers() {
+  public void broadcastMessages() {
     quarantine.takeMessages().forEach(broadcast);
   }
 }
