--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/BufferedResponseSink.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/BufferedResponseSink.java
@@ -48,7 +48,7 @@
   }
 
   @Override
-  public void answer(PlainResponse plainResponse) {
+  public void respond(PlainResponse plainResponse) {
     if (!response.ended() && !response.closed()) {
       response.setStatusCode(plainResponse.status());
       plainResponse
--- a/daemon/src/main/java/org/marjoramsail/daemon/caller/StreamSink.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/caller/StreamSink.java
@@ -83,7 +83,7 @@
   }
 
   @Override
-  public void answer(PlainResponse plainResponse) {
+  public void respond(PlainResponse plainResponse) {
     throw new IllegalStateException("A plain service does not answer a completion.");
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/forward/ForwardExchange.java
@@ -146,7 +146,7 @@
 
   @Override
   public void deliver(int attempt) {
-    Optional.ofNullable(responses.get(attempt)).ifPresent(this::answer);
+    Optional.ofNullable(responses.get(attempt)).ifPresent(this::respond);
   }
 
   @Override
@@ -190,7 +190,7 @@
   }
 
   @Override
-  public void answer(PlainResponse plainResponse) {
+  public void respond(PlainResponse plainResponse) {
     HttpServerResponse response = caller.response();
     if (response.closed() || response.ended()) {
       return;
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/CallerSink.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/CallerSink.java
@@ -14,7 +14,7 @@
   void complete(Completion completion);
 
   /** Handles the answer of a plain service. */
-  void answer(PlainResponse answer);
+  void respond(PlainResponse response);
 
   /** Handles an end without the whole answer. */
   void refuse(Refusal refusal);
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/CompletionSender.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/CompletionSender.java
@@ -50,7 +50,7 @@
 
   @Override
   public void deliver(int attempt) {
-    answer.filter(kept -> kept.attempt() == attempt).ifPresent(kept -> sink.answer(kept.answer()));
+    answer.filter(kept -> kept.attempt() == attempt).ifPresent(kept -> sink.respond(kept.answer()));
   }
 
   @Override
