--- a/command/src/main/java/org/marjoramsail/command/explain/RequestExplanation.java
+++ b/command/src/main/java/org/marjoramsail/command/explain/RequestExplanation.java
@@ -14,7 +14,7 @@
 public final class RequestExplanation {
 
   /** Of requests that were served at once, one in so many is written. */
-  public static final long SAMPLE = RequestLog.SAMPLE;
+  public static final long SAMPLE = RequestLog.SAMPLING_INTERVAL;
 
   private final List<LogLine> all = new ArrayList<>();
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestLog.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestLog.java
@@ -22,9 +22,9 @@
   private static final Logger LOG = LoggerFactory.getLogger(RequestLog.class);
 
   /** One in so many ordinary requests is written. */
-  public static final long SAMPLE = 32;
+  public static final long SAMPLING_INTERVAL = 32;
 
-  private static final Set<TraceKind> REMARKABLE =
+  private static final Set<TraceKind> ALWAYS_LOGGED =
       Set.of(
           TraceKind.UPSTREAM_FAILED,
           TraceKind.RETRIED,
@@ -32,16 +32,17 @@
           TraceKind.CALLER_GONE,
           TraceKind.CANCEL_SENT);
 
-  private final Supplier<String> beliefs;
-  private final AtomicLong ordinary = new AtomicLong();
+  private final Supplier<String> configurationSummary;
+  private final AtomicLong ordinaryRequests = new AtomicLong();
 
   /**
    * Creates an instance with what is believed.
    *
-   * @param beliefs says in a word which configuration and list were in force and how old they are
+   * @param configurationSummary says in a word which configuration and list were in force and how
+   *     old they are
    */
-  public RequestLog(Supplier<String> beliefs) {
-    this.beliefs = beliefs;
+  public RequestLog(Supplier<String> configurationSummary) {
+    this.configurationSummary = configurationSummary;
   }
 
   /** Writes a refusal with what led to it. */
@@ -54,26 +55,26 @@
         .addKeyValue("run", refusal.runState().code())
         .addKeyValue("retryAfterMillis", refusal.retryAfterMillis().orElse(-1L))
         .addKeyValue("detail", refusal.detail())
-        .addKeyValue("beliefs", beliefs.get())
+        .addKeyValue("beliefs", configurationSummary.get())
         .log("request refused");
   }
 
   /** Writes the way of a request that has ended. */
   void ended(RequestSnapshot snapshot, Optional<LatencyViolation> violation) {
-    boolean remarkable =
-        snapshot.steps().stream().anyMatch(step -> REMARKABLE.contains(step.kind()))
+    boolean alwaysLogged =
+        snapshot.steps().stream().anyMatch(step -> ALWAYS_LOGGED.contains(step.kind()))
             || violation.isPresent();
-    if (!remarkable && ordinary.getAndIncrement() % SAMPLE != 0) {
+    if (!alwaysLogged && ordinaryRequests.getAndIncrement() % SAMPLING_INTERVAL != 0) {
       return;
     }
-    StringJoiner way = new StringJoiner("; ");
+    StringJoiner trace = new StringJoiner("; ");
     for (TraceStep step : snapshot.steps()) {
       StringBuilder text = new StringBuilder();
       text.append(step.afterMillis()).append(" ms ").append(step.kind().code());
       text.append(" #").append(step.attempt());
       step.upstream().ifPresent(upstream -> text.append(' ').append(upstream.value()));
       step.reason().ifPresent(reason -> text.append(' ').append(reason));
-      way.add(text);
+      trace.add(text);
     }
     LOG.atInfo()
         .addKeyValue("request", snapshot.request().value())
@@ -85,9 +86,9 @@
         .addKeyValue("late", violation.map(LatencyViolation::code).orElse("no"))
         .addKeyValue(
             "longestPause", snapshot.longestGap().map(InterChunkGap::toString).orElse("none"))
-        .addKeyValue("sampled", !remarkable)
-        .addKeyValue("way", way.toString())
-        .addKeyValue("beliefs", beliefs.get())
+        .addKeyValue("sampled", !alwaysLogged)
+        .addKeyValue("way", trace.toString())
+        .addKeyValue("beliefs", configurationSummary.get())
         .log("request ended");
   }
 }
