--- a/daemon/src/main/java/org/marjoramsail/daemon/request/ActionRunner.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/ActionRunner.java
@@ -68,7 +68,7 @@
 
   private boolean runPlacement(LifecycleAction action, Consumer<LifecycleEvent> events) {
     if (action instanceof LifecycleAction.Place place) {
-      dependencies.placement().place(place.request(), result -> placed(result, events));
+      dependencies.placement().place(place.request(), result -> onPlaced(result, events));
     } else if (action instanceof LifecycleAction.Report report) {
       dependencies.placement().report(report.report());
     } else if (action instanceof LifecycleAction.Withdraw withdraw) {
@@ -85,11 +85,11 @@
 
   private void runUpstream(LifecycleAction action, Consumer<LifecycleEvent> events) {
     if (action instanceof LifecycleAction.SendPrefill send) {
-      keep(send.attempt(), sender.sendPrefill(send, events));
+      storeCall(send.attempt(), sender.sendPrefill(send, events));
     } else if (action instanceof LifecycleAction.SendDecode send) {
-      keep(send.attempt(), sender.sendDecode(send, events));
+      storeCall(send.attempt(), sender.sendDecode(send, events));
     } else if (action instanceof LifecycleAction.SendPlain send) {
-      keep(send.attempt(), sender.sendPlain(send, events));
+      storeCall(send.attempt(), sender.sendPlain(send, events));
     } else if (action instanceof LifecycleAction.CloseAttempt close) {
       call.filter(open -> open.attempt() == close.attempt()).ifPresent(open -> open.call().close());
     } else if (action instanceof LifecycleAction.Cancel cancel) {
@@ -102,7 +102,7 @@
     sender.deliver(attempt);
   }
 
-  private static void placed(PlacementResult result, Consumer<LifecycleEvent> events) {
+  private static void onPlaced(PlacementResult result, Consumer<LifecycleEvent> events) {
     if (result instanceof PlacementResult.Granted granted) {
       events.accept(new LifecycleEvent.Granted(granted.grant()));
     } else if (result instanceof PlacementResult.Refused refused) {
@@ -114,7 +114,7 @@
     dependencies
         .claims()
         .claim(claim.orElseThrow())
-        .onSuccess(decision -> claimed(decision, events))
+        .onSuccess(decision -> onClaimDecision(decision, events))
         .onFailure(
             cause ->
                 events.accept(
@@ -124,7 +124,7 @@
                             "The claim could not be recorded: " + cause.getMessage()))));
   }
 
-  private static void claimed(ClaimDecision decision, Consumer<LifecycleEvent> events) {
+  private static void onClaimDecision(ClaimDecision decision, Consumer<LifecycleEvent> events) {
     if (decision instanceof ClaimDecision.Refused refused) {
       events.accept(new LifecycleEvent.ClaimRefused(refused.refusal()));
     } else {
@@ -132,7 +132,7 @@
     }
   }
 
-  private void keep(int attempt, Optional<OpenCall> opened) {
-    opened.ifPresent(one -> call = Optional.of(new Call(attempt, one)));
+  private void storeCall(int attempt, Optional<OpenCall> opened) {
+    opened.ifPresent(inFlight -> call = Optional.of(new Call(attempt, inFlight)));
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/CompletionSender.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/CompletionSender.java
@@ -23,14 +23,14 @@
 /** Sends what callers of the completions interface and of plain services ask for. */
 public final class CompletionSender implements AttemptSender {
 
-  private record Answer(int attempt, PlainResponse answer) {}
+  private record ReceivedResponse(int attempt, PlainResponse response) {}
 
   private final RequestProfile profile;
   private final RequestContent content;
   private final CallerSink sink;
   private final UpstreamClients clients;
   private final Map<UpstreamName, UpstreamEndpoint> endpoints = new HashMap<>(2);
-  private volatile Optional<Answer> answer = Optional.empty();
+  private volatile Optional<ReceivedResponse> lastResponse = Optional.empty();
 
   /**
    * Creates an instance with one request.
@@ -50,7 +50,9 @@
 
   @Override
   public void deliver(int attempt) {
-    answer.filter(kept -> kept.attempt() == attempt).ifPresent(kept -> sink.respond(kept.answer()));
+    lastResponse
+        .filter(received -> received.attempt() == attempt)
+        .ifPresent(received -> sink.respond(received.response()));
   }
 
   @Override
@@ -58,7 +60,7 @@
       LifecycleAction.SendPrefill send, Consumer<LifecycleEvent> events) {
     RequestContent.Generation generation = (RequestContent.Generation) content;
     Optional<UpstreamEndpoint> endpoint = endpoint(send.upstream(), send.attempt(), events);
-    PrefillRequest order =
+    PrefillRequest request =
         new PrefillRequest(
             profile.id(),
             send.attempt(),
@@ -68,12 +70,12 @@
             profile.serviceClass().rank(),
             generation.prompt());
     return endpoint.map(
-        known ->
+        resolved ->
             clients
                 .engines()
                 .prefill(
-                    known,
-                    order,
+                    resolved,
+                    request,
                     prefilled -> events.accept(prefilled(send.attempt(), prefilled)),
                     failure -> failed(send.attempt(), send.upstream(), failure, events)));
   }
@@ -93,7 +95,7 @@
       LifecycleAction.SendDecode send, Consumer<LifecycleEvent> events) {
     RequestContent.Generation generation = (RequestContent.Generation) content;
     Optional<UpstreamEndpoint> endpoint = endpoint(send.upstream(), send.attempt(), events);
-    DecodeRequest order =
+    DecodeRequest request =
         new DecodeRequest(
             profile.id(),
             send.attempt(),
@@ -107,12 +109,12 @@
             send.startIndex(),
             send.kv().flatMap(this::location));
     return endpoint.map(
-        known ->
+        resolved ->
             clients
                 .engines()
                 .decode(
-                    known,
-                    order,
+                    resolved,
+                    request,
                     !profile.repeatability().isResendable(),
                     listener(send.attempt(), send.upstream(), events)));
   }
@@ -155,7 +157,7 @@
   public Optional<OpenCall> sendPlain(
       LifecycleAction.SendPlain send, Consumer<LifecycleEvent> events) {
     RequestContent.Plain plain = (RequestContent.Plain) content;
-    PlainRequest order =
+    PlainRequest request =
         new PlainRequest(
             profile.id(),
             send.attempt(),
@@ -165,20 +167,20 @@
             plain.body());
     return endpoint(send.upstream(), send.attempt(), events)
         .map(
-            known ->
+            resolved ->
                 clients
                     .plainServices()
                     .send(
-                        known,
-                        order,
+                        resolved,
+                        request,
                         !profile.repeatability().isResendable(),
-                        got -> plainResponseReceived(send.attempt(), got, events),
+                        received -> plainResponseReceived(send.attempt(), received, events),
                         failure -> failed(send.attempt(), send.upstream(), failure, events)));
   }
 
   private void plainResponseReceived(
-      int attempt, PlainResponse got, Consumer<LifecycleEvent> events) {
-    answer = Optional.of(new Answer(attempt, got));
+      int attempt, PlainResponse received, Consumer<LifecycleEvent> events) {
+    lastResponse = Optional.of(new ReceivedResponse(attempt, received));
     events.accept(new LifecycleEvent.PlainResponseReceived(attempt));
   }
 
@@ -199,11 +201,11 @@
 
   private Optional<UpstreamEndpoint> endpoint(
       UpstreamName upstream, int attempt, Consumer<LifecycleEvent> events) {
-    Optional<UpstreamEndpoint> known = clients.directory().endpoint(upstream);
-    known.ifPresentOrElse(
+    Optional<UpstreamEndpoint> resolved = clients.directory().endpoint(upstream);
+    resolved.ifPresentOrElse(
         endpoint -> endpoints.put(upstream, endpoint),
         () -> failed(attempt, upstream, UpstreamFailure.CONNECT_FAILED, events));
-    return known;
+    return resolved;
   }
 
   private void failed(
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/LiveRequest.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/LiveRequest.java
@@ -16,13 +16,13 @@
 final class LiveRequest {
 
   private final Object shardLock;
-  private final Executor home;
+  private final Executor executor;
   private final Clock clock;
   private final TaskScheduler scheduler;
   private final RequestLifecycle lifecycle;
   private final RequestTrace trace;
   private final ActionRunner runner;
-  private final Runnable settled;
+  private final Runnable onSettled;
   private final Deque<LifecycleEvent> mailbox = new ArrayDeque<>(2);
   private boolean draining;
   private boolean removed;
@@ -30,20 +30,20 @@
 
   LiveRequest(
       Object shardLock,
-      Executor home,
+      Executor executor,
       Clock clock,
       TaskScheduler scheduler,
       RequestLifecycle lifecycle,
       ActionRunner runner,
-      Runnable settled) {
+      Runnable onSettled) {
     this.shardLock = shardLock;
-    this.home = home;
+    this.executor = executor;
     this.clock = clock;
     this.scheduler = scheduler;
     this.lifecycle = lifecycle;
     this.trace = new RequestTrace(lifecycle.profile().receivedAtMillis());
     this.runner = runner;
-    this.settled = settled;
+    this.onSettled = onSettled;
   }
 
   /**
@@ -64,7 +64,7 @@
       }
       draining = true;
     }
-    home.execute(this::drain);
+    executor.execute(this::drain);
   }
 
   /** What operators see; takes the shard's lock. */
@@ -108,24 +108,24 @@
       TraceRecorder.recordEvent(trace, nowMillis, lifecycle, event, actions);
     }
     actions.forEach(action -> runner.run(action, this::deliver));
-    afterwards();
+    updateAfterEvent();
     return true;
   }
 
-  private void afterwards() {
+  private void updateAfterEvent() {
     boolean remove;
     synchronized (shardLock) {
       remove = lifecycle.isSettled() && !removed;
       removed |= remove;
-      lifecycle.nextWakeMillis().ifPresent(this::wakeAt);
+      lifecycle.nextWakeMillis().ifPresent(this::scheduleWake);
     }
     if (remove) {
-      settled.run();
+      onSettled.run();
     }
   }
 
   /** Sets a timer unless an earlier one is set; an early wake only looks and sets the next. */
-  private void wakeAt(long atMillis) {
+  private void scheduleWake(long atMillis) {
     if (atMillis >= timerAtMillis) {
       return;
     }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/NewRequest.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/NewRequest.java
@@ -15,7 +15,7 @@
  * @param perTokenTargetMillis target between tokens on average, for the measures
  * @param latencyTargets when its answer counts as in time
  * @param sink where its answer goes
- * @param home runs tasks one after another; the sink is called on it
+ * @param executor runs tasks one after another; the sink is called on it
  */
 public record NewRequest(
     RequestProfile profile,
@@ -25,4 +25,4 @@
     long perTokenTargetMillis,
     LatencyTargets latencyTargets,
     CallerSink sink,
-    Executor home) {}
+    Executor executor) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestMeter.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestMeter.java
@@ -61,8 +61,8 @@
   }
 
   private boolean isWithinTargets() {
-    long betweenMillis = lastTokenAtMillis - firstTokenAtMillis;
+    long generationMillis = lastTokenAtMillis - firstTokenAtMillis;
     return firstTokenAtMillis <= profile.firstTokenAtMillis()
-        && betweenMillis <= perTokenTargetMillis * Math.max(0, tokens - 1);
+        && generationMillis <= perTokenTargetMillis * Math.max(0, tokens - 1);
   }
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
@@ -79,7 +79,7 @@
   public RequestHandle register(NewRequest request) {
     RequestProfile profile = request.profile();
     Shard shard = shard(profile.id());
-    LiveRequest live = live(request, shard);
+    LiveRequest live = createLiveRequest(request, shard);
     synchronized (shard) {
       shard.live.put(profile.id(), live);
     }
@@ -88,7 +88,7 @@
     return new Handle(live);
   }
 
-  private LiveRequest live(NewRequest request, Shard shard) {
+  private LiveRequest createLiveRequest(NewRequest request, Shard shard) {
     RequestProfile profile = request.profile();
     RequestLifecycle lifecycle =
         new RequestLifecycle(
@@ -110,7 +110,13 @@
             clock,
             request.perTokenTargetMillis());
     return new LiveRequest(
-        shard, request.home(), clock, scheduler, lifecycle, runner, () -> settled(shard, request));
+        shard,
+        request.executor(),
+        clock,
+        scheduler,
+        lifecycle,
+        runner,
+        () -> removeSettled(shard, request));
   }
 
   private RetryBudget newBudget(String service) {
@@ -119,7 +125,7 @@
     return budget;
   }
 
-  private void settled(Shard shard, NewRequest request) {
+  private void removeSettled(Shard shard, NewRequest request) {
     RequestProfile profile = request.profile();
     RequestSnapshot snapshot;
     synchronized (shard) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/StoredClaims.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/StoredClaims.java
@@ -16,7 +16,7 @@
 public final class StoredClaims implements ClaimGate {
 
   /** A claim may take this share of the time that the caller has. */
-  private static final int SHARE_OF_DEADLINE = 2;
+  private static final int DEADLINE_DIVISOR = 2;
 
   private static final long RUNNING_RETRY_MILLIS = 1_000;
   private static final long STORE_RETRY_MILLIS = 2_000;
@@ -35,7 +35,7 @@
             new org.marjoramsail.daemon.claim.ClaimRequest(
                 keyOf(request),
                 Long.toHexString(request.fingerprint()),
-                request.deadlineWithinMillis() / SHARE_OF_DEADLINE))
+                request.deadlineWithinMillis() / DEADLINE_DIVISOR))
         .map(result -> decision(request, result));
   }
 
@@ -57,36 +57,37 @@
   private static ClaimDecision decision(ClaimRequest request, ClaimResult result) {
     return switch (result.kind()) {
       case GRANTED -> new ClaimDecision.Claimed();
-      case COMPLETED_BEFORE -> refused(answeredBefore(request, result));
+      case COMPLETED_BEFORE -> refused(completedBefore(request, result));
       case RUNNING_ELSEWHERE ->
           refused(
               new Refusal(
                   RefusalReason.ALREADY_RUNNING,
                   RunState.UNKNOWN,
-                  quoted(request) + " is being run for an earlier request.",
+                  describeKey(request) + " is being run for an earlier request.",
                   Optional.of(RUNNING_RETRY_MILLIS)));
       case UNKNOWN_BEFORE ->
           refused(
               Refusal.unknown(
                   RefusalReason.RAN_BEFORE,
-                  quoted(request) + " was sent for an earlier request and may have run."));
+                  describeKey(request) + " was sent for an earlier request and may have run."));
       case CONFLICTING_BODY ->
           refused(
               Refusal.notRun(
                   RefusalReason.IDEMPOTENCY_CONFLICT,
-                  quoted(request)
+                  describeKey(request)
                       + " was used with other content; allowed: a new key, or the same content."));
       case STORE_UNAVAILABLE -> storeUnavailable(request);
-      case UNCERTAIN -> refused(unrecorded(quoted(request) + " could not be recorded in time;"));
+      case UNCERTAIN ->
+          refused(claimNotRecorded(describeKey(request) + " could not be recorded in time;"));
     };
   }
 
-  private static Refusal answeredBefore(ClaimRequest request, ClaimResult result) {
+  private static Refusal completedBefore(ClaimRequest request, ClaimResult result) {
     String earlier = result.outcome().map(outcome -> " as " + outcome.summary()).orElse("");
     return new Refusal(
         RefusalReason.ALREADY_ANSWERED,
         RunState.RAN,
-        quoted(request) + " was run and answered" + earlier + ".",
+        describeKey(request) + " was run and answered" + earlier + ".",
         Optional.empty());
   }
 
@@ -95,16 +96,17 @@
       return new ClaimDecision.Claimed();
     }
     return refused(
-        unrecorded(
-            quoted(request) + " cannot be recorded while the platform's store does not answer;"));
+        claimNotRecorded(
+            describeKey(request)
+                + " cannot be recorded while the platform's store does not answer;"));
   }
 
   /** Without the record nothing tells whether an earlier request with the key was run. */
-  private static Refusal unrecorded(String why) {
+  private static Refusal claimNotRecorded(String reason) {
     return new Refusal(
         RefusalReason.STORE_UNAVAILABLE,
         RunState.UNKNOWN,
-        why + " this request was not sent, an earlier one with the key may have been.",
+        reason + " this request was not sent, an earlier one with the key may have been.",
         Optional.of(STORE_RETRY_MILLIS));
   }
 
@@ -112,7 +114,7 @@
     return new ClaimDecision.Refused(refusal);
   }
 
-  private static String quoted(ClaimRequest request) {
+  private static String describeKey(ClaimRequest request) {
     return "Idempotency key '" + request.key() + "'";
   }
 }
