--- a/daemon/src/test/java/org/marjoramsail/daemon/request/StoredClaimsTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/request/StoredClaimsTest.java
@@ -41,13 +41,13 @@
         });
   }
 
-  private static ClaimRequest ballot(StoreOutagePolicy policy) {
+  private static ClaimRequest ballotClaim(StoreOutagePolicy policy) {
     return new ClaimRequest(
         new RequestId("q1"), "cabildo", "votacion", "ballot-7", 9, policy, 1_000);
   }
 
   private static ClaimDecision decision(ClaimGate gate, StoreOutagePolicy policy) {
-    return gate.claim(ballot(policy)).result();
+    return gate.claim(ballotClaim(policy)).result();
   }
 
   /**
@@ -63,7 +63,7 @@
     "STORE_UNAVAILABLE,STORE_UNAVAILABLE,UNKNOWN",
     "UNCERTAIN,STORE_UNAVAILABLE,UNKNOWN",
   })
-  void whateverIsNotGrantedIsRefusedWithWhatIsKnownOfTheRun(
+  void aClaimThatIsNotGrantedIsRefusedWithItsRunState(
       Kind kind, RefusalReason reason, RunState run) {
     ClaimDecision decision = decision(gate(ClaimResult.of(kind)), StoreOutagePolicy.REFUSE);
 
@@ -74,13 +74,13 @@
   }
 
   @Test
-  void aGrantedClaimMayBeSent() {
+  void aRequestWithAGrantedClaimMayBeSent() {
     assertThat(decision(gate(ClaimResult.of(Kind.GRANTED)), StoreOutagePolicy.REFUSE))
         .isEqualTo(new ClaimDecision.Claimed());
   }
 
   @Test
-  void aRepeatIsToldHowTheFirstWasAnswered() {
+  void aRepeatedRequestIsRefusedWithTheOutcomeOfTheFirst() {
     ClaimOutcome first = new ClaimOutcome(ClaimState.COMPLETED, 201, "q0");
     ClaimResult before =
         new ClaimResult(Kind.COMPLETED_BEFORE, Optional.of(first), Optional.empty());
@@ -92,7 +92,7 @@
 
   /** The rule lets a summary run while the store is down; a doubtful claim must not run even so. */
   @Test
-  void onlyAStoreThatIsSurelyDownLetsARequestRunUnclaimed() {
+  void aRequestRunsUnclaimedOnlyIfTheStoreIsCertainlyUnavailable() {
     StoreOutagePolicy policy = StoreOutagePolicy.RUN_UNCLAIMED;
 
     assertThat(decision(gate(ClaimResult.of(Kind.STORE_UNAVAILABLE)), policy))
@@ -103,9 +103,9 @@
 
   @ParameterizedTest
   @CsvSource({"COMPLETED,COMPLETED", "NOT_RUN,NOT_RUN", "UNKNOWN,UNKNOWN"})
-  void theEndOfARequestIsRecordedAsItWas(
+  void theOutcomeOfARequestIsRecordedUnchanged(
       org.marjoramsail.core.outcome.ClaimOutcome end, ClaimState recorded) {
-    gate(ClaimResult.of(Kind.GRANTED)).settle(ballot(StoreOutagePolicy.REFUSE), end);
+    gate(ClaimResult.of(Kind.GRANTED)).settle(ballotClaim(StoreOutagePolicy.REFUSE), end);
 
     assertThat(settled).containsExactly(new ClaimOutcome(recorded, 0, "q1"));
   }
