--- a/daemon/src/main/java/org/marjoramsail/daemon/request/ActionRunner.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/ActionRunner.java
@@ -11,7 +11,7 @@
 import org.marjoramsail.core.time.Clock;
 import org.marjoramsail.daemon.metrics.RequestMetrics;
 
-/** Carries out the actions of one request and brings their results back as events. */
+/** Executes the actions of one request's lifecycle and returns their results as events. */
 final class ActionRunner {
 
   private record Call(int attempt, OpenCall call) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/AttemptSender.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/AttemptSender.java
@@ -6,25 +6,25 @@
 import org.marjoramsail.core.outcome.LifecycleEvent;
 
 /**
- * Brings the attempts of one request to upstreams, in the form that its caller's interface has.
+ * Sends the attempts of one request to upstreams, in the protocol of the caller's interface.
  *
- * <p>What becomes of a call is told as events, on any thread; after a call was closed, nothing more
- * is told of it. Methods are called one after another, on the request's own executor.
+ * <p>The results of a call arrive as events on any thread; a closed call delivers no more events.
+ * Methods are called one after another, on the executor of the request.
  */
 public interface AttemptSender {
 
-  /** Has a prefill upstream read the prompt. */
+  /** Sends the prompt to a prefill upstream. */
   Optional<OpenCall> sendPrefill(LifecycleAction.SendPrefill send, Consumer<LifecycleEvent> events);
 
-  /** Has a decode upstream generate. */
+  /** Sends the request to a decode upstream, which generates the output. */
   Optional<OpenCall> sendDecode(LifecycleAction.SendDecode send, Consumer<LifecycleEvent> events);
 
-  /** Has a plain service answer. */
+  /** Sends the request to a plain service. */
   Optional<OpenCall> sendPlain(LifecycleAction.SendPlain send, Consumer<LifecycleEvent> events);
 
-  /** Has an upstream drop what it holds; confirmed by an event. */
+  /** Makes an upstream release the resources of an attempt; an event confirms it. */
   void cancel(LifecycleAction.Cancel cancel, Consumer<LifecycleEvent> events);
 
-  /** Gives the caller the whole answer that an attempt got. */
+  /** Sends the whole response that an attempt received to the caller. */
   void deliver(int attempt);
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/CallerSink.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/CallerSink.java
@@ -4,18 +4,18 @@
 import org.marjoramsail.core.outcome.Completion;
 import org.marjoramsail.daemon.upstream.PlainResponse;
 
-/** Where a request's answer goes; called on the request's own executor, in order. */
+/** Receives the output of a request; called in order, on the executor of the request. */
 public interface CallerSink {
 
-  /** Handles the next token. */
+  /** Sends the next token to the caller. */
   void token(int index, String text);
 
-  /** Handles the end of a whole answer. */
+  /** Ends the output after its last token. */
   void complete(Completion completion);
 
-  /** Handles the answer of a plain service. */
+  /** Sends the response of a plain service to the caller. */
   void respond(PlainResponse response);
 
-  /** Handles an end without the whole answer. */
+  /** Ends the request with a refusal, possibly after a part of the output. */
   void refuse(Refusal refusal);
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/ClaimDecision.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/ClaimDecision.java
@@ -2,16 +2,17 @@
 
 import org.marjoramsail.core.failure.Refusal;
 
-/** What became of a claim. */
+/** Result of an attempt to record a claim. */
 public sealed interface ClaimDecision {
 
-  /** It is recorded, or the rule lets the request run without; the request may be sent. */
+  /** The request may be sent: its claim is recorded, or its rule allows to run without one. */
   record Claimed() implements ClaimDecision {}
 
   /**
    * The request must not be sent.
    *
-   * @param refusal what the caller is told, with what is known of the run that has the claim
+   * @param refusal the response to the caller, with the run state of the request that holds the
+   *     claim
    */
   record Refused(Refusal refusal) implements ClaimDecision {}
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/ClaimRequest.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/ClaimRequest.java
@@ -4,15 +4,15 @@
 import org.marjoramsail.core.model.RequestId;
 
 /**
- * A claim that is to be recorded.
+ * Claim on an idempotency key that has to be recorded.
  *
- * @param request the request
- * @param organisation whose key it is
- * @param service the service asked for
+ * @param request id of the request
+ * @param organisation the organisation that owns the key
+ * @param service the requested service
  * @param key the caller's idempotency key
- * @param fingerprint hash of the content, so that a key with other content is found
- * @param storeOutagePolicy what to do while the store is down
- * @param deadlineWithinMillis how long an answer is of use
+ * @param fingerprint hash of the content, which detects the reuse of a key for other content
+ * @param storeOutagePolicy policy of the rule while the store is unavailable
+ * @param deadlineWithinMillis time until the deadline of the request
  */
 public record ClaimRequest(
     RequestId request,
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/CompletionSender.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/CompletionSender.java
@@ -20,7 +20,7 @@
 import org.marjoramsail.daemon.upstream.PrefillResponse;
 import org.marjoramsail.daemon.upstream.UpstreamEndpoint;
 
-/** Sends what callers of the completions interface and of plain services ask for. */
+/** Sends the attempts of a completion request or of a plain request to upstreams. */
 public final class CompletionSender implements AttemptSender {
 
   private record ReceivedResponse(int attempt, PlainResponse response) {}
@@ -33,12 +33,12 @@
   private volatile Optional<ReceivedResponse> lastResponse = Optional.empty();
 
   /**
-   * Creates an instance with one request.
+   * Creates a sender for one request.
    *
-   * @param profile what decisions know of it
-   * @param content what upstreams get
-   * @param sink where its answer goes
-   * @param clients the upstreams
+   * @param profile properties of the request
+   * @param content the content that upstreams receive
+   * @param sink receives the output
+   * @param clients clients of the upstreams
    */
   public CompletionSender(
       RequestProfile profile, RequestContent content, CallerSink sink, UpstreamClients clients) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/CrashObserver.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/CrashObserver.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Learns from polls which upstreams crashed: tells the quarantine, the requests that ran there and
- * the other daemons, and passes the poll on.
+ * Detects crashed upstreams from the results of polls, notifies the quarantine, the registered
+ * requests and the other daemons, and passes the results to the next observer.
  */
 public final class CrashObserver implements UpstreamObserver {
 
@@ -27,13 +27,13 @@
   private final Clock clock;
 
   /**
-   * Creates an instance with all that it needs.
+   * Creates an observer.
    *
-   * @param quarantine contents that crash upstreams
-   * @param registry requests that may have run on an upstream that crashed
+   * @param quarantine detects requests whose content crashes upstreams
+   * @param registry the requests that may have run on a crashed upstream
    * @param broadcast sends a message to all other daemons
-   * @param next hears every poll after this
-   * @param clock tells the time
+   * @param next receives each result after this observer
+   * @param clock the clock
    */
   public CrashObserver(
       Quarantine quarantine,
@@ -57,7 +57,7 @@
       LOG.atWarn()
           .addKeyValue("upstream", report.upstream())
           .addKeyValue("incarnation", report.incarnation())
-          .log("upstream has started anew");
+          .log("upstream restarted");
       registry.upstreamRestarted(report.upstream());
     }
     broadcastMessages();
@@ -78,7 +78,7 @@
     next.unreachable(upstream, connectionRefused);
   }
 
-  /** Sends what the quarantine has found or an operator has lifted; cheap when there is nothing. */
+  /** Broadcasts the pending messages of the quarantine, if any. */
   public void broadcastMessages() {
     quarantine.takeMessages().forEach(broadcast);
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/InterChunkGap.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/InterChunkGap.java
@@ -3,11 +3,11 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * The longest pause of a stream.
+ * The longest inter-chunk gap of a stream.
  *
- * @param afterChunk how many pieces the caller had when it began
- * @param millis how long the caller waited for the next one
- * @param upstream who generated the stream then
+ * @param afterChunk number of chunks before the gap
+ * @param millis length of the gap
+ * @param upstream the upstream that generated the stream when the gap ended
  */
 public record InterChunkGap(int afterChunk, long millis, UpstreamName upstream) {
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/LatencyTargets.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/LatencyTargets.java
@@ -3,17 +3,17 @@
 import java.util.Optional;
 
 /**
- * When an answer counts as in time.
+ * Latency targets of a request.
  *
- * @param firstOutputMillis how long the first piece, or a whole plain answer, may take
- * @param maximumGapMillis how long the pause between two pieces may be
+ * @param firstOutputMillis maximum time until the first chunk, or until a whole plain response
+ * @param maximumGapMillis maximum time between two chunks
  */
 public record LatencyTargets(long firstOutputMillis, long maximumGapMillis) {
 
-  /** Where only the mean time between pieces counts. */
+  /** Value of {@code maximumGapMillis} for requests with a target for the mean gap only. */
   public static final long NO_GAP_LIMIT = Long.MAX_VALUE;
 
-  /** Why the answer of a request was late, if it was. */
+  /** Returns the first target that an ended request missed, if any. */
   Optional<LatencyViolation> violationOf(RequestSnapshot ended) {
     if (ended.firstOutputMillis() > firstOutputMillis) {
       return Optional.of(LatencyViolation.FIRST_SIGN);
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/LatencyViolation.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/LatencyViolation.java
@@ -2,14 +2,14 @@
 
 import java.util.Locale;
 
-/** Why an answer was late; the first that holds. */
+/** The first latency target that a request missed. */
 public enum LatencyViolation {
-  /** The first piece, or the whole plain answer, came after its target. */
+  /** The first chunk, or the whole plain response, arrived after its target. */
   FIRST_SIGN,
-  /** A pause between two pieces was longer than the route allows. */
+  /** An inter-chunk gap was longer than the route allows. */
   PAUSE;
 
-  /** The cause in lower case with hyphens, as counters and logs show it. */
+  /** Returns the name in lower case with hyphens, as metrics and logs show it. */
   public String code() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/LifecycleDependencies.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/LifecycleDependencies.java
@@ -6,11 +6,11 @@
 import org.marjoramsail.core.outcome.RetryBudget;
 
 /**
- * What all requests of a daemon share in their decisions.
+ * Objects that the lifecycles of all requests of a daemon use.
  *
- * @param quarantine contents that crash upstreams
- * @param invariants what to do when the program itself is at fault
- * @param budgets makes the retry budget of a service, once for each
+ * @param quarantine detects requests whose content crashes upstreams
+ * @param invariants handles violated invariants of the program
+ * @param budgets creates the retry budget of a service; called once for each service
  */
 public record LifecycleDependencies(
     Quarantine quarantine, Invariants invariants, Supplier<RetryBudget> budgets) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/LiveRequest.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/LiveRequest.java
@@ -10,8 +10,9 @@
 import org.marjoramsail.core.time.Clock;
 
 /**
- * One request with its mailbox: events come on any thread, and are handled one after another on the
- * request's own executor. Decisions are made under the shard's lock, actions outside it.
+ * A registered request and the queue of its events. Events arrive on any thread and are handled one
+ * after another on the executor of the request. The lifecycle decides under the lock of the shard;
+ * its actions run outside the lock.
  */
 final class LiveRequest {
 
@@ -47,9 +48,9 @@
   }
 
   /**
-   * Handles an event on any thread. The end of the caller goes before all that waits. Guards
-   * against the failure in which a fast engine fills the mailbox for a reader that takes nothing:
-   * the request would end as completed, and others on the same executor would wait until then.
+   * Queues an event; may be called on any thread. The end of the caller's side precedes all queued
+   * events. This guards against a fast engine that fills the queue of a caller that does not read:
+   * the request would end as completed, and block others on the same executor until then.
    */
   void deliver(LifecycleEvent event) {
     synchronized (shardLock) {
@@ -67,7 +68,7 @@
     executor.execute(this::drain);
   }
 
-  /** What operators see; takes the shard's lock. */
+  /** Returns the current state for operators; takes the lock of the shard. */
   RequestSnapshot snapshot() {
     synchronized (shardLock) {
       return new RequestSnapshot(
@@ -124,7 +125,7 @@
     }
   }
 
-  /** Sets a timer unless an earlier one is set; an early wake only looks and sets the next. */
+  /** Sets a timer unless an earlier one is pending; that one sets the next when it fires. */
   private void scheduleWake(long atMillis) {
     if (atMillis >= timerAtMillis) {
       return;
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/NewRequest.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/NewRequest.java
@@ -6,16 +6,16 @@
 import org.marjoramsail.core.outcome.RequestProfile;
 
 /**
- * A request that is to be registered.
+ * Request that has to be registered.
  *
- * @param profile what decisions need
- * @param policy bounds of its tries and waits
- * @param sender brings its attempts to upstreams
- * @param claim the claim that has to be recorded first
- * @param perTokenTargetMillis target between tokens on average, for the measures
- * @param latencyTargets when its answer counts as in time
- * @param sink where its answer goes
- * @param executor runs tasks one after another; the sink is called on it
+ * @param profile properties of the request
+ * @param policy limits of its attempts and waiting times
+ * @param sender sends its attempts to upstreams
+ * @param claim the claim that has to be recorded before it is sent
+ * @param perTokenTargetMillis target for the mean time between tokens, for metrics
+ * @param latencyTargets its latency targets
+ * @param sink receives its output
+ * @param executor runs tasks one after another, among them the calls of the sink
  */
 public record NewRequest(
     RequestProfile profile,
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/NoClaims.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/NoClaims.java
@@ -5,7 +5,7 @@
 import org.marjoramsail.core.failure.RefusalReason;
 import org.marjoramsail.core.outcome.ClaimOutcome;
 
-/** A daemon without a store: refuses keyed requests that may run only once, truthfully. */
+/** Claim gate of a daemon without a store; refuses each request that requires a claim. */
 public final class NoClaims implements ClaimGate {
 
   @Override
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/OpenCall.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/OpenCall.java
@@ -1,9 +1,9 @@
 package org.marjoramsail.daemon.request;
 
-/** A call to an upstream that is under way. */
+/** A call to an upstream that is in flight. */
 @FunctionalInterface
 public interface OpenCall {
 
-  /** Ends the call from this side, after which nothing more is heard of it. */
+  /** Closes the call, which delivers no results afterwards. */
   void close();
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestContent.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestContent.java
@@ -3,23 +3,23 @@
 import io.vertx.core.MultiMap;
 import io.vertx.core.buffer.Buffer;
 
-/** What a caller sent, as upstreams get it. */
+/** Content of a request that is passed on to upstreams. */
 public sealed interface RequestContent {
 
   /**
-   * For model engines.
+   * Content for model engines.
    *
-   * @param model the model that the engines run
+   * @param model name of the model
    * @param prompt the prompt
    */
   record Generation(String model, String prompt) implements RequestContent {}
 
   /**
-   * For a plain service.
+   * Content for a plain service.
    *
    * @param method HTTP method
    * @param path path and query below the service
-   * @param headers headers that are passed on
+   * @param headers the headers to pass on
    * @param body the body
    */
   record Plain(String method, String path, MultiMap headers, Buffer body)
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestDependencies.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestDependencies.java
@@ -3,9 +3,9 @@
 import org.marjoramsail.core.placement.PlacementService;
 
 /**
- * Whom requests need.
+ * Services that requests call.
  *
- * @param placement grants upstreams
- * @param claims records claims
+ * @param placement assigns upstreams to attempts
+ * @param claims records claims on idempotency keys
  */
 public record RequestDependencies(PlacementService placement, ClaimGate claims) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestHandle.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestHandle.java
@@ -2,12 +2,12 @@
 
 import org.marjoramsail.core.failure.Refusal;
 
-/** The caller's side of a registered request. */
+/** Reports events of the caller's side to a registered request. */
 public interface RequestHandle {
 
-  /** Tells that the caller has closed its connection. */
+  /** Reports that the caller has closed its connection. */
   void callerDisconnected();
 
-  /** Ends the request from the caller's side, for instance since it reads too slowly. */
+  /** Ends the request from the caller's side, for instance because the caller reads too slowly. */
   void end(Refusal refusal);
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestLog.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestLog.java
@@ -11,17 +11,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes what an operator needs to explain a request afterwards.
+ * Logs the trace of ended requests, from which an operator can explain them.
  *
- * <p>Ordinary requests that are answered at the first try would drown the others, so of these one
- * in some is written; whatever was refused, repeated, late or left by its caller is written whole,
- * in one line with each step, its time and its upstream.
+ * <p>Requests that were refused, retried, late, cancelled or abandoned by the caller are always
+ * logged, in one line with the time and the upstream of each step. Of all other requests only a
+ * sample is logged.
  */
 public final class RequestLog {
 
   private static final Logger LOG = LoggerFactory.getLogger(RequestLog.class);
 
-  /** One in so many ordinary requests is written. */
+  /** One of this number of ordinary requests is logged. */
   public static final long SAMPLING_INTERVAL = 32;
 
   private static final Set<TraceKind> ALWAYS_LOGGED =
@@ -36,16 +36,15 @@
   private final AtomicLong ordinaryRequests = new AtomicLong();
 
   /**
-   * Creates an instance with what is believed.
+   * Creates a log.
    *
-   * @param configurationSummary says in a word which configuration and list were in force and how
-   *     old they are
+   * @param configurationSummary describes the configuration and the upstream list in use
    */
   public RequestLog(Supplier<String> configurationSummary) {
     this.configurationSummary = configurationSummary;
   }
 
-  /** Writes a refusal with what led to it. */
+  /** Logs a refusal and its reason. */
   void refused(RequestProfile profile, Refusal refusal) {
     LOG.atInfo()
         .addKeyValue("request", profile.id().value())
@@ -59,7 +58,7 @@
         .log("request refused");
   }
 
-  /** Writes the way of a request that has ended. */
+  /** Logs the trace of an ended request. */
   void ended(RequestSnapshot snapshot, Optional<LatencyViolation> violation) {
     boolean alwaysLogged =
         snapshot.steps().stream().anyMatch(step -> ALWAYS_LOGGED.contains(step.kind()))
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestMeter.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestMeter.java
@@ -7,7 +7,7 @@
 import org.marjoramsail.core.time.Clock;
 import org.marjoramsail.daemon.metrics.RequestMetrics;
 
-/** Measures one request against the latency targets of its rule. */
+/** Records the metrics of one request, among them whether it met the targets of its rule. */
 final class RequestMeter {
 
   private final RequestMetrics metrics;
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestRegistry.java
@@ -21,9 +21,9 @@
 import org.marjoramsail.daemon.metrics.RequestMetrics;
 
 /**
- * All requests whose callers are connected to this daemon, in shards with a lock each.
+ * Registry of the requests whose callers are connected to this daemon, in shards with a lock each.
  *
- * <p>A request stays registered until it has ended and no upstream can hold anything of it.
+ * <p>A request stays registered until it has ended and no upstream can hold resources for it.
  */
 public final class RequestRegistry {
 
@@ -46,15 +46,15 @@
   private final Map<String, RetryBudget> budgets = new ConcurrentHashMap<>();
 
   /**
-   * Starts empty.
+   * Creates an empty registry.
    *
-   * @param dependencies whom requests need
-   * @param lifecycleDependencies what all requests share in their decisions
-   * @param metrics what is counted
-   * @param log what is written of requests
-   * @param clock tells the time
-   * @param scheduler wakes requests
-   * @param random for the jitter of back-off; safe for several threads
+   * @param dependencies the services that requests call
+   * @param lifecycleDependencies objects that all lifecycles use
+   * @param metrics the metrics
+   * @param log logs ended and refused requests
+   * @param clock the clock
+   * @param scheduler runs the timers of requests
+   * @param random source of the jitter of back-off; has to be thread-safe
    */
   public RequestRegistry(
       RequestDependencies dependencies,
@@ -75,7 +75,7 @@
     metrics.registerRunning(this::size);
   }
 
-  /** Takes in a request; its answer goes to its sink. */
+  /** Registers and starts a request, whose output goes to its sink. */
   public RequestHandle register(NewRequest request) {
     RequestProfile profile = request.profile();
     Shard shard = shard(profile.id());
@@ -144,7 +144,7 @@
     log.ended(snapshot, violation);
   }
 
-  /** Tells all requests that an upstream has started anew, or is gone for good. */
+  /** Notifies all requests that an upstream has restarted or was removed. */
   public void upstreamRestarted(UpstreamName upstream) {
     LifecycleEvent event = new LifecycleEvent.UpstreamRestarted(upstream);
     for (Shard shard : shards) {
@@ -156,7 +156,7 @@
     }
   }
 
-  /** How many requests are registered. */
+  /** Returns the number of registered requests. */
   public int size() {
     int size = 0;
     for (Shard shard : shards) {
@@ -167,7 +167,7 @@
     return size;
   }
 
-  /** Where a request is, or was when it ended a short time ago. */
+  /** Returns the state of a registered or recently ended request. */
   public Optional<RequestSnapshot> snapshot(RequestId id) {
     Shard shard = shard(id);
     synchronized (shard) {
@@ -178,7 +178,7 @@
     }
   }
 
-  /** All requests that are registered now. */
+  /** Returns the states of all registered requests. */
   public List<RequestSnapshot> snapshots() {
     List<RequestSnapshot> snapshots = new ArrayList<>();
     for (Shard shard : shards) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestSnapshot.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestSnapshot.java
@@ -8,21 +8,21 @@
 import org.marjoramsail.core.outcome.LifecycleState;
 
 /**
- * Where a request is and how it got there, for operators.
+ * State and trace of a request at one moment, for operators.
  *
- * @param request the request
- * @param service the service asked for
- * @param organisation whose it is
+ * @param request id of the request
+ * @param service the requested service
+ * @param organisation the organisation that sent it
  * @param rule the rule that matched it
- * @param serviceClass its urgency
- * @param state where it is
- * @param attempt the current attempt
+ * @param serviceClass its service class
+ * @param state state of its lifecycle
+ * @param attempt number of the current attempt
  * @param prefill the prefill upstream of the current attempt
- * @param target the upstream of the current attempt that generates or answers
- * @param emittedTokens how many tokens the caller has
- * @param ageMillis since it arrived
- * @param steps its way so far, bounded
- * @param longestGap the longest pause between two pieces so far
+ * @param target the decode upstream or plain service of the current attempt
+ * @param emittedTokens number of tokens sent to the caller
+ * @param ageMillis time since its arrival
+ * @param steps its trace so far, of bounded length
+ * @param longestGap the longest inter-chunk gap so far
  */
 public record RequestSnapshot(
     RequestId request,
@@ -39,7 +39,7 @@
     List<TraceStep> steps,
     Optional<InterChunkGap> longestGap) {
 
-  /** After how long the caller had a first piece or a whole answer; zero where it got none. */
+  /** Returns the time until the first chunk or the whole response; zero where there was none. */
   long firstOutputMillis() {
     return steps.stream()
         .filter(step -> step.kind() == TraceKind.FIRST_TOKEN || step.kind() == TraceKind.COMPLETED)
@@ -48,7 +48,7 @@
         .orElse(0);
   }
 
-  /** Copies the list, so that the value cannot change. */
+  /** Creates an immutable value. */
   public RequestSnapshot {
     steps = List.copyOf(steps);
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/RequestTrace.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/RequestTrace.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.marjoramsail.core.model.UpstreamName;
 
-/** The latest steps of one request, bounded; its first step is always kept. */
+/** The first step and a bounded number of the latest steps of one request. */
 final class RequestTrace {
 
   private static final int MAXIMUM_LATER_STEPS = 23;
@@ -43,7 +43,7 @@
     later.addLast(step);
   }
 
-  /** Records that the caller was given a piece; the first has the index zero. */
+  /** Records that a chunk was sent to the caller; the first has the index zero. */
   void recordChunk(long nowMillis, int index) {
     long gapMillis = nowMillis - lastChunkAtMillis;
     boolean longer = longestGap.filter(known -> known.millis() >= gapMillis).isEmpty();
@@ -53,7 +53,7 @@
     lastChunkAtMillis = nowMillis;
   }
 
-  /** The longest pause so far; empty before the second piece. */
+  /** Returns the longest inter-chunk gap so far; empty before the second chunk. */
   Optional<InterChunkGap> longestGap() {
     return longestGap;
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/StoredClaims.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/StoredClaims.java
@@ -12,10 +12,10 @@
 import org.marjoramsail.core.failure.RunState;
 import org.marjoramsail.daemon.claim.ClaimService;
 
-/** Claims kept in the platform's store, and what a caller is told when there is one already. */
+/** Records claims in the platform's store and refuses requests whose key is already claimed. */
 public final class StoredClaims implements ClaimGate {
 
-  /** A claim may take this share of the time that the caller has. */
+  /** Recording a claim may take the time until the deadline divided by this. */
   private static final int DEADLINE_DIVISOR = 2;
 
   private static final long RUNNING_RETRY_MILLIS = 1_000;
@@ -23,7 +23,7 @@
 
   private final ClaimService claims;
 
-  /** Records claims through a service. */
+  /** Creates a gate that records claims through a service. */
   public StoredClaims(ClaimService claims) {
     this.claims = claims;
   }
@@ -101,7 +101,7 @@
                 + " cannot be recorded while the platform's store does not answer;"));
   }
 
-  /** Without the record nothing tells whether an earlier request with the key was run. */
+  /** The run state is unknown, since an earlier request with the key may have run. */
   private static Refusal claimNotRecorded(String reason) {
     return new Refusal(
         RefusalReason.STORE_UNAVAILABLE,
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/TaskScheduler.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/TaskScheduler.java
@@ -1,14 +1,14 @@
 package org.marjoramsail.daemon.request;
 
-/** Runs tasks later, on any thread. */
+/** Runs tasks after a delay, on any thread. */
 @FunctionalInterface
 public interface TaskScheduler {
 
   /**
    * Runs a task once.
    *
-   * @param delayMillis after how long; at least one
-   * @param task what to run
+   * @param delayMillis the delay; at least one
+   * @param task the task
    */
   void schedule(long delayMillis, Runnable task);
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/TraceKind.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/TraceKind.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** What can happen on a request's way. */
+/** Kinds of steps in the trace of a request. */
 public enum TraceKind {
   CLAIM_ASKED,
   CLAIM_SETTLED,
@@ -20,7 +20,7 @@
   COMPLETED,
   REFUSED;
 
-  /** The step in lower case with hyphens, as operators see it. */
+  /** Returns the name in lower case with hyphens, as operators see it. */
   public String code() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/TraceRecorder.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/TraceRecorder.java
@@ -8,7 +8,7 @@
 import org.marjoramsail.core.outcome.LifecycleEvent;
 import org.marjoramsail.core.outcome.RequestLifecycle;
 
-/** Notes the steps of a request that tell an operator how it got where it is. */
+/** Records the events and actions of a request as steps of its trace. */
 final class TraceRecorder {
 
   private TraceRecorder() {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/TraceStep.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/TraceStep.java
@@ -4,12 +4,12 @@
 import org.marjoramsail.core.model.UpstreamName;
 
 /**
- * One step on a request's way.
+ * One step in the trace of a request.
  *
- * @param afterMillis how long after its arrival
- * @param kind what happened
- * @param attempt which attempt; zero before the first
- * @param upstream the upstream that it concerns
+ * @param afterMillis time since the arrival of the request
+ * @param kind kind of the step
+ * @param attempt number of the attempt; zero before the first
+ * @param upstream the upstream of the step, if any
  * @param reason code of the refusal, retry or failure reason
  */
 public record TraceStep(
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/UpstreamClients.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/UpstreamClients.java
@@ -7,12 +7,12 @@
 import org.marjoramsail.daemon.upstream.UpstreamDirectory;
 
 /**
- * The upstreams as completions and plain calls need them.
+ * Clients for calls to upstreams.
  *
  * @param engines calls model engines
  * @param plainServices calls plain services
- * @param directory finds upstreams
- * @param probe asks an upstream at once for its load, after a call to it was cut
+ * @param directory finds the endpoints of upstreams
+ * @param probe polls the load of an upstream at once, after a failure that may be a crash
  */
 public record UpstreamClients(
     EngineClient engines,
--- a/daemon/src/main/java/org/marjoramsail/daemon/request/package-info.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/request/package-info.java
@@ -1,2 +1,2 @@
-/** The shell around each request's lifecycle: carries out its actions, brings it events. */
+/** I/O layer of the request lifecycle: executes its actions and delivers events to it. */
 package org.marjoramsail.daemon.request;
--- a/daemon/src/test/java/org/marjoramsail/daemon/request/StoredClaimsTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/request/StoredClaimsTest.java
@@ -51,8 +51,8 @@
   }
 
   /**
-   * A neighbour presses the button again and her ballot is recorded twice, or she is told "not run"
-   * of a ballot that counts: what an earlier claim means is lost on the way to her.
+   * Guards against a repeated request that runs twice, or is reported as "not run" although an
+   * earlier request with its key ran.
    */
   @ParameterizedTest
   @CsvSource({
@@ -90,7 +90,7 @@
     assertThat(((ClaimDecision.Refused) decision).refusal().detail()).contains("as q0");
   }
 
-  /** The rule lets a summary run while the store is down; a doubtful claim must not run even so. */
+  /** Guards against a second run of a request whose claim may have been recorded. */
   @Test
   void aRequestRunsUnclaimedOnlyIfTheStoreIsCertainlyUnavailable() {
     StoreOutagePolicy policy = StoreOutagePolicy.RUN_UNCLAIMED;
