--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/PeerClaimService.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/PeerClaimService.java
@@ -44,34 +44,34 @@
 public final class PeerClaimService implements ClaimService, PeerMessageHandler {
 
   private static final long TICK_MILLIS = 10;
-  private static final long REST_MILLIS = 50;
-  private static final long PICK_OWNERS_MILLIS = 250;
+  private static final long IDLE_TICK_MILLIS = 50;
+  private static final long OWNER_UPDATE_MILLIS = 250;
 
   /** The state of one segment here; each part under a lock of its own. */
   private record Shard(int segment, ClaimRequests requests, SegmentBatching batching) {}
 
   /** A claim whose result the caller waits for. */
-  private record Waiting(ClaimKey key, Claim claim, Promise<ClaimResult> promise) {}
+  private record PendingClaim(ClaimKey key, Claim claim, Promise<ClaimResult> promise) {}
 
   private final Vertx vertx;
   private final DaemonId self;
   private final ClaimSettings settings;
   private final PeerTransport transport;
-  private final Supplier<? extends Collection<DaemonId>> live;
+  private final Supplier<? extends Collection<DaemonId>> liveDaemons;
   private final Clock clock;
   private final MeterRegistry meters;
   private final List<Shard> shards = new ArrayList<>();
-  private final Map<ClaimId, Waiting> waiting = new ConcurrentHashMap<>();
+  private final Map<ClaimId, PendingClaim> pendingClaims = new ConcurrentHashMap<>();
   private final Map<ClaimKey, Claim> granted = new ConcurrentHashMap<>();
   private final AtomicLong sequence = new AtomicLong();
   private volatile List<DaemonId> owners = List.of();
-  private final AdaptiveTimer ticks;
+  private final AdaptiveTimer tickTimer;
   private long ownerTimer;
 
   /**
    * Creates an instance with all that it needs; nothing runs before {@link #start()}.
    *
-   * @param live the live runs of daemons, this one included
+   * @param liveDaemons the live runs of daemons, this one included
    */
   public PeerClaimService(
       Vertx vertx,
@@ -79,19 +79,19 @@
       ClaimSettings settings,
       ObjectApi api,
       PeerTransport transport,
-      Supplier<? extends Collection<DaemonId>> live,
+      Supplier<? extends Collection<DaemonId>> liveDaemons,
       Clock clock,
       MeterRegistry meters) {
     this.vertx = vertx;
     this.self = self;
     this.settings = settings;
     this.transport = transport;
-    this.live = live;
+    this.liveDaemons = liveDaemons;
     this.clock = clock;
     this.meters = meters;
-    this.ticks =
+    this.tickTimer =
         new AdaptiveTimer(
-            vertx, TICK_MILLIS, REST_MILLIS, this::isBusy, () -> shards.forEach(this::tick));
+            vertx, TICK_MILLIS, IDLE_TICK_MILLIS, this::isBusy, () -> shards.forEach(this::tick));
     for (int segment = 0; segment < settings.segments(); segment++) {
       SegmentStore store = new SegmentStore(api, meters, segment);
       shards.add(
@@ -99,24 +99,24 @@
               segment,
               new ClaimRequests(settings),
               new SegmentBatching(
-                  settings, store, clock, answer -> send(answer.claim(), answer.result()))));
+                  settings, store, clock, delivery -> send(delivery.claim(), delivery.result()))));
     }
   }
 
   private boolean isBusy() {
-    return !waiting.isEmpty() || shards.stream().anyMatch(shard -> shard.batching().isBusy());
+    return !pendingClaims.isEmpty() || shards.stream().anyMatch(shard -> shard.batching().isBusy());
   }
 
   /** Starts its timers. */
   public void start() {
-    pickOwners();
-    ownerTimer = vertx.setPeriodic(PICK_OWNERS_MILLIS, unused -> pickOwners());
-    ticks.start();
+    updateOwners();
+    ownerTimer = vertx.setPeriodic(OWNER_UPDATE_MILLIS, unused -> updateOwners());
+    tickTimer.start();
   }
 
   /** Stops its timers; claims that still wait get no result. */
   public void stop() {
-    ticks.stop();
+    tickTimer.stop();
     vertx.cancelTimer(ownerTimer);
   }
 
@@ -126,7 +126,7 @@
     String keyHash = request.key().hash();
     Claim claim = new Claim(id, keyHash, request.bodyHash(), request.withinMillis());
     Promise<ClaimResult> promise = Promise.promise();
-    waiting.put(id, new Waiting(request.key(), claim, promise));
+    pendingClaims.put(id, new PendingClaim(request.key(), claim, promise));
     Shard shard = shard(keyHash);
     step(shard, requests -> requests.open(claim, clock.millis()));
     return promise.future();
@@ -144,12 +144,12 @@
 
   @Override
   public void handle(DaemonId from, PeerMessage message) {
-    if (message instanceof ClaimMessage asked && isSegment(asked.segment())) {
-      shards.get(asked.segment()).batching().claim(asked.claim());
+    if (message instanceof ClaimMessage claimMessage && isSegment(claimMessage.segment())) {
+      shards.get(claimMessage.segment()).batching().claim(claimMessage.claim());
     } else if (message instanceof SettleMessage settle && isSegment(settle.segment())) {
       shards.get(settle.segment()).batching().settle(settle.settlement());
     } else if (message instanceof ClaimResultMessage result) {
-      take(result.claim(), result.result());
+      receiveResult(result.claim(), result.result());
     }
   }
 
@@ -170,9 +170,10 @@
    * Picks the owners from time to time rather than for each claim, since it hashes all daemons; an
    * owner of a moment ago is as safe, and only costs conflicts.
    */
-  private void pickOwners() {
-    Collection<DaemonId> now = live.get();
-    owners = shards.stream().map(shard -> SegmentOwner.of(shard.segment(), now, self)).toList();
+  private void updateOwners() {
+    Collection<DaemonId> candidates = liveDaemons.get();
+    owners =
+        shards.stream().map(shard -> SegmentOwner.of(shard.segment(), candidates, self)).toList();
   }
 
   private DaemonId owner(int segment) {
@@ -188,8 +189,8 @@
   }
 
   private void perform(Shard shard, Step step) {
-    if (step instanceof Step.SendClaim ask) {
-      send(owner(shard.segment()), new ClaimMessage(shard.segment(), ask.claim()));
+    if (step instanceof Step.SendClaim sendClaim) {
+      send(owner(shard.segment()), new ClaimMessage(shard.segment(), sendClaim.claim()));
     } else if (step instanceof Step.Settle settle) {
       send(owner(shard.segment()), new SettleMessage(shard.segment(), settle.settlement()));
     } else if (step instanceof Step.Finish finish) {
@@ -198,33 +199,33 @@
   }
 
   private void finish(Step.Finish finish) {
-    Waiting known = waiting.remove(finish.claim());
-    if (known == null) {
+    PendingClaim pending = pendingClaims.remove(finish.claim());
+    if (pending == null) {
       return;
     }
-    ClaimResult result = judged(finish.result());
+    ClaimResult result = resolveFailedHolder(finish.result());
     meters
         .counter(
             "marjoramsail.claims.results", "result", result.kind().name().toLowerCase(Locale.ROOT))
         .increment();
     if (result.kind() == Kind.GRANTED) {
-      granted.put(known.key(), known.claim());
+      granted.put(pending.key(), pending.claim());
     }
-    known.promise().complete(result);
+    pending.promise().complete(result);
   }
 
   /** A request that a daemon was running when it died has an unknown end. */
-  private ClaimResult judged(ClaimResult result) {
-    boolean holderGone =
+  private ClaimResult resolveFailedHolder(ClaimResult result) {
+    boolean holderFailed =
         result.kind() == Kind.RUNNING_ELSEWHERE
-            && result.holder().filter(live.get()::contains).isEmpty();
-    return holderGone ? ClaimResult.of(Kind.UNKNOWN_BEFORE) : result;
+            && result.holder().filter(liveDaemons.get()::contains).isEmpty();
+    return holderFailed ? ClaimResult.of(Kind.UNKNOWN_BEFORE) : result;
   }
 
-  private void take(ClaimId claim, ClaimResult result) {
-    Waiting known = waiting.get(claim);
-    if (known != null) {
-      step(shard(known.claim().keyHash()), requests -> requests.result(claim, result));
+  private void receiveResult(ClaimId claim, ClaimResult result) {
+    PendingClaim pending = pendingClaims.get(claim);
+    if (pending != null) {
+      step(shard(pending.claim().keyHash()), requests -> requests.result(claim, result));
     } else if (result.kind() == Kind.GRANTED) {
       shards.forEach(shard -> step(shard, requests -> requests.result(claim, result)));
     }
