--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/SegmentBatching.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/SegmentBatching.java
@@ -19,30 +19,31 @@
 final class SegmentBatching {
 
   /** Sends a result to a claimant. */
-  interface Answers {
-    void send(DeliverResult answer);
+  interface ResultSender {
+    void send(DeliverResult delivery);
   }
 
   private final ClaimSettings settings;
   private final SegmentStore store;
   private final Clock clock;
-  private final Answers answers;
+  private final ResultSender resultSender;
   private final Object lock = new Object();
   private Optional<ClaimBatcher> batcher = Optional.empty();
 
-  SegmentBatching(ClaimSettings settings, SegmentStore store, Clock clock, Answers answers) {
+  SegmentBatching(
+      ClaimSettings settings, SegmentStore store, Clock clock, ResultSender resultSender) {
     this.settings = settings;
     this.store = store;
     this.clock = clock;
-    this.answers = answers;
+    this.resultSender = resultSender;
   }
 
   void claim(Claim claim) {
-    step(now -> present(now).claim(claim, now));
+    step(now -> getOrCreateBatcher(now).claim(claim, now));
   }
 
   void settle(Settlement settlement) {
-    step(now -> present(now).settle(settlement, now));
+    step(now -> getOrCreateBatcher(now).settle(settlement, now));
   }
 
   /** Does what time has made due, and forgets the segment when another daemon has it. */
@@ -52,7 +53,7 @@
           if (!owner && batcher.filter(ClaimBatcher::isBusy).isEmpty()) {
             batcher = Optional.empty();
           }
-          return batcher.map(known -> known.tick(now)).orElse(List.of());
+          return batcher.map(current -> current.tick(now)).orElse(List.of());
         });
   }
 
@@ -62,7 +63,7 @@
     }
   }
 
-  private ClaimBatcher present(long now) {
+  private ClaimBatcher getOrCreateBatcher(long now) {
     if (batcher.isEmpty()) {
       batcher = Optional.of(new ClaimBatcher(settings, now));
     }
@@ -78,8 +79,8 @@
   }
 
   private void perform(ClaimAction action) {
-    if (action instanceof DeliverResult answer) {
-      answers.send(answer);
+    if (action instanceof DeliverResult delivery) {
+      resultSender.send(delivery);
     } else if (action instanceof ReadPage read) {
       perform(read);
     } else if (action instanceof WritePage write) {
@@ -88,28 +89,33 @@
   }
 
   private void perform(ReadPage read) {
-    Optional<ClaimBatcher> asking = current();
+    Optional<ClaimBatcher> requester = currentBatcher();
     store
         .read(read)
-        .onSuccess(page -> result(asking, known -> known.pageRead(read, page, clock.millis())))
-        .onFailure(unused -> result(asking, known -> known.readFailed(read, clock.millis())));
+        .onSuccess(
+            page ->
+                reportResult(requester, current -> current.pageRead(read, page, clock.millis())))
+        .onFailure(
+            unused -> reportResult(requester, current -> current.readFailed(read, clock.millis())));
   }
 
   private void perform(WritePage write) {
-    Optional<ClaimBatcher> asking = current();
+    Optional<ClaimBatcher> requester = currentBatcher();
     store
         .write(write)
-        .onSuccess(version -> result(asking, known -> known.written(version, clock.millis())))
-        .onFailure(failure -> result(asking, known -> failed(known, failure)));
+        .onSuccess(
+            version -> reportResult(requester, current -> current.written(version, clock.millis())))
+        .onFailure(
+            failure -> reportResult(requester, current -> reportWriteFailure(current, failure)));
   }
 
-  private List<ClaimAction> failed(ClaimBatcher known, Throwable failure) {
+  private List<ClaimAction> reportWriteFailure(ClaimBatcher current, Throwable failure) {
     long now = clock.millis();
     return switch (SegmentStore.failure(failure)) {
-      case CONFLICT, ALREADY_EXISTS, NOT_FOUND -> known.writeConflicted(now);
-      case UNCERTAIN -> known.writeUncertain(now);
+      case CONFLICT, ALREADY_EXISTS, NOT_FOUND -> current.writeConflicted(now);
+      case UNCERTAIN -> current.writeUncertain(now);
       case INVALID, OVER_BUDGET, UNAVAILABLE, VERSION_TOO_OLD ->
-          known.writeRefused(retryAfterMillis(failure), now);
+          current.writeRefused(retryAfterMillis(failure), now);
     };
   }
 
@@ -117,19 +123,19 @@
     return failure instanceof ObjectApiException typed ? typed.retryAfterMillis().orElse(0L) : 0;
   }
 
-  private Optional<ClaimBatcher> current() {
+  private Optional<ClaimBatcher> currentBatcher() {
     synchronized (lock) {
       return batcher;
     }
   }
 
   /** Hands a result to the batcher that asked; one that was forgotten since gets nothing. */
-  private void result(
-      Optional<ClaimBatcher> asking, Function<ClaimBatcher, List<ClaimAction>> event) {
+  private void reportResult(
+      Optional<ClaimBatcher> requester, Function<ClaimBatcher, List<ClaimAction>> event) {
     step(
         now ->
             batcher
-                .filter(known -> asking.filter(asker -> asker == known).isPresent())
+                .filter(current -> requester.filter(expected -> expected == current).isPresent())
                 .map(event)
                 .orElse(List.of()));
   }
