--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimPageCodec.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimPageCodec.java
@@ -16,7 +16,7 @@
 /** The JSON of a page; each entry is an array, since pages are rewritten often. */
 final class ClaimPageCodec {
 
-  private static final int FIELDS = 9;
+  private static final int FIELDS_PER_ENTRY = 9;
 
   private ClaimPageCodec() {}
 
@@ -47,7 +47,7 @@
     List<ClaimEntry> entries = new ArrayList<>();
     for (JsonNode fields : spec.path("entries")) {
       Optional<ClaimState> state = state(fields.path(5).asText());
-      if (fields.size() != FIELDS || state.isEmpty()) {
+      if (fields.size() != FIELDS_PER_ENTRY || state.isEmpty()) {
         return Optional.empty();
       }
       entries.add(entry(fields, state.get()));
--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/SegmentStore.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/SegmentStore.java
@@ -31,7 +31,7 @@
   /** Reads a page; empty where there is none; fails also for content that is no page. */
   Future<Optional<VersionedPage>> read(ReadPage read) {
     return api.get(KIND, name(read.slot()))
-        .compose(this::page)
+        .compose(this::decode)
         .map(Optional::of)
         .recover(
             failure ->
@@ -40,7 +40,7 @@
                     : Future.failedFuture(failure));
   }
 
-  private Future<VersionedPage> page(StoredObject object) {
+  private Future<VersionedPage> decode(StoredObject object) {
     return ClaimPageCodec.read(object.spec())
         .map(page -> new VersionedPage(object.resourceVersion(), page))
         .map(Future::succeededFuture)
