--- a/command/src/main/java/org/marjoramsail/command/capacity/ClaimsPart.java
+++ b/command/src/main/java/org/marjoramsail/command/capacity/ClaimsPart.java
@@ -99,7 +99,7 @@
 
   private static void add(
       ClaimMeasurementReport report, double micros, double bytesPerSecond, List<Point> points) {
-    double rate = report.askedPerSecond();
+    double rate = report.requestedPerSecond();
     points.add(new Point(Measure.CLAIMS_GRANTED, DAEMONS, rate, report.grantedPerSecond()));
     points.add(new Point(Measure.CLAIMS_WRITES, DAEMONS, rate, report.writesPerSecond()));
     points.add(
--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimMeasurement.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimMeasurement.java
@@ -73,10 +73,10 @@
   private final RandomGenerator random;
   private final MeterRegistry meters = new SimpleMeterRegistry();
   private final Map<DaemonId, Daemon> daemons = new ConcurrentHashMap<>();
-  private final List<Daemon> entries = new CopyOnWriteArrayList<>();
+  private final List<Daemon> daemonList = new CopyOnWriteArrayList<>();
   private final AtomicLongArray buckets = new AtomicLongArray(MAXIMUM_MILLIS * BUCKETS_PER_MILLI);
   private final AtomicLong granted = new AtomicLong();
-  private final AtomicLong others = new AtomicLong();
+  private final AtomicLong otherResults = new AtomicLong();
   private final AtomicLong nextKey = new AtomicLong();
 
   /** Creates an instance with all that it needs; one instance measures once. */
@@ -99,28 +99,28 @@
 
   private Future<ClaimMeasurementReport> measure(Load load) {
     long startMillis = clock.millis();
-    long fromMillis = startMillis + load.warmUpSeconds() * MILLIS_PER_SECOND;
-    long toMillis = fromMillis + load.seconds() * MILLIS_PER_SECOND;
-    AtomicLong asked = new AtomicLong();
+    long measureFromMillis = startMillis + load.warmUpSeconds() * MILLIS_PER_SECOND;
+    long measureToMillis = measureFromMillis + load.seconds() * MILLIS_PER_SECOND;
+    AtomicLong claimsSent = new AtomicLong();
     AtomicLong writesBefore = new AtomicLong(-1);
     Promise<ClaimMeasurementReport> done = Promise.promise();
     vertx.setPeriodic(
         1,
         timer -> {
           long now = clock.millis();
-          if (now >= fromMillis) {
+          if (now >= measureFromMillis) {
             writesBefore.compareAndSet(-1, writes());
           }
-          if (now >= toMillis) {
+          if (now >= measureToMillis) {
             vertx.cancelTimer(timer);
             long writes = writes() - writesBefore.get();
             vertx.setTimer(DRAIN_MILLIS, unused -> done.complete(report(load, writes)));
             return;
           }
-          long due = (now - startMillis) * load.claimsPerSecond() / MILLIS_PER_SECOND;
-          while (asked.get() < due) {
-            asked.incrementAndGet();
-            ask(now >= fromMillis);
+          long claimsDue = (now - startMillis) * load.claimsPerSecond() / MILLIS_PER_SECOND;
+          while (claimsSent.get() < claimsDue) {
+            claimsSent.incrementAndGet();
+            sendClaim(now >= measureFromMillis);
           }
         });
     return done.future();
@@ -158,7 +158,7 @@
                 meters);
         Daemon daemon = new Daemon(context, service);
         daemons.put(self, daemon);
-        entries.add(daemon);
+        daemonList.add(daemon);
         service.start();
         return Future.succeededFuture();
       }
@@ -173,30 +173,30 @@
             hop -> vertx.setTimer(hopMillis, unused -> target.service().handle(from, message)));
   }
 
-  private void ask(boolean counted) {
-    Daemon entry = entries.get(random.nextInt(entries.size()));
-    entry.context().runOnContext(unused -> ask(entry.service(), counted));
+  private void sendClaim(boolean measured) {
+    Daemon daemon = daemonList.get(random.nextInt(daemonList.size()));
+    daemon.context().runOnContext(unused -> sendClaim(daemon.service(), measured));
   }
 
-  private void ask(PeerClaimService entry, boolean counted) {
+  private void sendClaim(PeerClaimService service, boolean measured) {
     String name = "key-" + nextKey.incrementAndGet();
     ClaimKey key = new ClaimKey("organisation", "service", name);
     String bodyHash = ClaimKey.bodyHash(name.getBytes(StandardCharsets.UTF_8));
-    long askedNanos = System.nanoTime();
-    entry
+    long startNanos = System.nanoTime();
+    service
         .claim(new ClaimRequest(key, bodyHash, CLAIM_WITHIN_MILLIS))
         .onSuccess(
             result -> {
-              if (counted) {
-                count(result.kind(), System.nanoTime() - askedNanos);
+              if (measured) {
+                recordResult(result.kind(), System.nanoTime() - startNanos);
               }
-              entry.settle(key, new ClaimOutcome(ClaimState.COMPLETED, 200, ""));
+              service.settle(key, new ClaimOutcome(ClaimState.COMPLETED, 200, ""));
             });
   }
 
-  private void count(Kind kind, long nanos) {
+  private void recordResult(Kind kind, long nanos) {
     if (kind != Kind.GRANTED) {
-      others.incrementAndGet();
+      otherResults.incrementAndGet();
       return;
     }
     granted.incrementAndGet();
@@ -205,12 +205,12 @@
   }
 
   private ClaimMeasurementReport report(Load load, long writes) {
-    entries.forEach(daemon -> daemon.service().stop());
+    daemonList.forEach(daemon -> daemon.service().stop());
     return new ClaimMeasurementReport(
         load.daemons(),
         load.claimsPerSecond(),
         (double) granted.get() / load.seconds(),
-        others.get(),
+        otherResults.get(),
         (double) writes / load.seconds(),
         writes() - writesByResult().getOrDefault("ok", 0L),
         percentile(0.50),
@@ -231,11 +231,11 @@
   }
 
   private double percentile(double share) {
-    long wanted = (long) Math.ceil(granted.get() * share);
-    long seen = 0;
+    long targetCount = (long) Math.ceil(granted.get() * share);
+    long cumulativeCount = 0;
     for (int bucket = 0; bucket < buckets.length(); bucket++) {
-      seen += buckets.get(bucket);
-      if (seen >= wanted && seen > 0) {
+      cumulativeCount += buckets.get(bucket);
+      if (cumulativeCount >= targetCount && cumulativeCount > 0) {
         return (bucket + 1.0) / BUCKETS_PER_MILLI;
       }
     }
--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimMeasurementReport.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimMeasurementReport.java
@@ -6,7 +6,7 @@
  * What a run of {@link ClaimMeasurement} showed.
  *
  * @param daemons how many daemons asked
- * @param askedPerSecond claims asked for, a second
+ * @param requestedPerSecond claims asked for, a second
  * @param grantedPerSecond claims granted, a second
  * @param otherResults claims with another result than a grant; all keys were fresh
  * @param writesPerSecond writes that the daemons sent, a second
@@ -17,7 +17,7 @@
  */
 public record ClaimMeasurementReport(
     int daemons,
-    double askedPerSecond,
+    double requestedPerSecond,
     double grantedPerSecond,
     long otherResults,
     double writesPerSecond,
@@ -38,7 +38,7 @@
         Locale.ROOT,
         "| %d | %.0f | %.0f | %d | %.1f | %d | %.1f | %.1f | %.1f |",
         daemons,
-        askedPerSecond,
+        requestedPerSecond,
         grantedPerSecond,
         otherResults,
         writesPerSecond,
