--- a/daemon/src/test/java/org/marjoramsail/daemon/claim/PeerClaimServiceTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/claim/PeerClaimServiceTest.java
@@ -32,7 +32,7 @@
 final class PeerClaimServiceTest {
 
   private static final long WAIT_SECONDS = 20;
-  private static final long LONG_MILLIS = 15_000;
+  private static final long CLAIM_TIMEOUT_MILLIS = 15_000;
   private static final ClaimSettings SETTINGS =
       new ClaimSettings(2, 8, 4, 100, 100, 1, 5, 20, 50, 600_000);
   private static final ClaimOutcome BALLOT_TAKEN =
@@ -59,8 +59,8 @@
     port = await(platform.start());
     live.add(new DaemonId("a", 1));
     live.add(new DaemonId("b", 1));
-    first = daemon(live.get(0));
-    second = daemon(live.get(1));
+    first = startDaemon(live.get(0));
+    second = startDaemon(live.get(1));
   }
 
   @AfterEach
@@ -69,12 +69,13 @@
   }
 
   @Test
-  void aKeyIsGrantedOnceAndARepeatGetsItsOutcomeFromAnyDaemonAndAfterRestarts() throws Exception {
+  void aKeyIsGrantedOnceAndARepeatReceivesItsOutcomeFromAnyDaemonAndAfterRestarts()
+      throws Exception {
     assertThat(await(first.claim(ballot("1", "yes"))).kind()).isEqualTo(Kind.GRANTED);
     assertThat(await(second.claim(ballot("1", "yes"))).kind()).isEqualTo(Kind.RUNNING_ELSEWHERE);
     assertThat(await(second.claim(ballot("1", "no"))).kind()).isEqualTo(Kind.CONFLICTING_BODY);
     await(first.settle(key("1"), BALLOT_TAKEN));
-    ClaimResult repeated = repeatUntilSettled(second);
+    ClaimResult repeated = repeatUntilResolved(second);
     assertThat(repeated.outcome()).contains(BALLOT_TAKEN);
 
     PeerClaimService restarted = restartAll();
@@ -83,7 +84,7 @@
   }
 
   @Test
-  void aRequestOfADeadDaemonIsNeverGrantedAgain() throws Exception {
+  void aRequestOfAFailedDaemonIsNeverGrantedAgain() throws Exception {
     // A neighbour's ballot is claimed, and the daemon dies before it could say how it ended. The
     // neighbour sends it again. Nobody can know whether it was counted, so it must not run.
     assertThat(await(first.claim(ballot("1", "yes"))).kind()).isEqualTo(Kind.GRANTED);
@@ -94,7 +95,7 @@
   }
 
   @Test
-  void claimsWhoseWriteLostItsAnswerAreSettledByReadingBack() throws Exception {
+  void claimsAreGrantedAfterARereadWhenTheResponsesToTheirWritesAreLost() throws Exception {
     platform.loseAnswerOfNextWrites(3);
 
     List<Future<ClaimResult>> claims = new ArrayList<>();
@@ -108,7 +109,7 @@
   }
 
   @Test
-  void aRequestThatWasProvenNotRunMayBeClaimedAgain() throws Exception {
+  void aRequestThatCertainlyDidNotRunCanBeClaimedAgain() throws Exception {
     assertThat(await(first.claim(ballot("1", "yes"))).kind()).isEqualTo(Kind.GRANTED);
     await(first.settle(key("1"), new ClaimOutcome(ClaimState.NOT_RUN, 0, "")));
 
@@ -121,7 +122,7 @@
   }
 
   @Test
-  void inAnOutageNothingIsGrantedAndNothingWritten() throws Exception {
+  void duringAStoreOutageNoClaimIsGrantedAndNoPageIsWritten() throws Exception {
     await(platform.outage(true));
 
     Kind refused = await(first.claim(new ClaimRequest(key("1"), "body", 300))).kind();
@@ -132,7 +133,7 @@
     assertThat(await(first.claim(ballot("2", "yes"))).kind()).isEqualTo(Kind.GRANTED);
   }
 
-  private ClaimResult repeatUntilSettled(PeerClaimService service) throws Exception {
+  private ClaimResult repeatUntilResolved(PeerClaimService service) throws Exception {
     ClaimResult result = await(service.claim(ballot("1", "yes")));
     while (result.kind() == Kind.RUNNING_ELSEWHERE) {
       result = await(service.claim(ballot("1", "yes")));
@@ -145,10 +146,10 @@
     services.clear();
     live.clear();
     live.add(new DaemonId("a", 2));
-    return daemon(live.get(0));
+    return startDaemon(live.get(0));
   }
 
-  private PeerClaimService daemon(DaemonId id) {
+  private PeerClaimService startDaemon(DaemonId id) {
     SimpleMeterRegistry meters = new SimpleMeterRegistry();
     HttpObjectApi api =
         new HttpObjectApi(vertx, HttpObjectApiSettings.defaults("127.0.0.1", port), meters);
@@ -174,7 +175,7 @@
   }
 
   private static ClaimRequest ballot(String name, String body) {
-    return new ClaimRequest(key(name), body, LONG_MILLIS);
+    return new ClaimRequest(key(name), body, CLAIM_TIMEOUT_MILLIS);
   }
 
   private static ClaimKey key(String name) {
