--- a/daemon/src/main/java/org/marjoramsail/daemon/order/HttpEngineOrders.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/order/HttpEngineOrders.java
@@ -35,9 +35,9 @@
           .serializationInclusion(JsonInclude.Include.NON_ABSENT)
           .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
           .build();
-  private static final long CONNECT_MILLIS = 1_000;
+  private static final long CONNECT_TIMEOUT_MILLIS = 1_000;
   // With the time to connect, less than the longest time that an order may be under way.
-  private static final long ANSWER_MILLIS = 3_000;
+  private static final long RESPONSE_TIMEOUT_MILLIS = 3_000;
   private static final int ACCEPTED = 202;
   private static final int OK = 200;
   private static final int CONFLICT = 409;
@@ -79,7 +79,7 @@
             request ->
                 allowed.getAsBoolean()
                     ? sendNow(request, OrderBody.of(order, token))
-                    : drop(request));
+                    : cancel(request));
   }
 
   @Override
@@ -87,7 +87,7 @@
     Future<JsonNode> status = getJson(upstream, "/v1/status");
     Future<JsonNode> orders = getJson(upstream, "/v1/orders");
     return Future.all(status, orders)
-        .compose(both -> parse(upstream, status.result(), orders.result()));
+        .compose(unused -> parse(upstream, status.result(), orders.result()));
   }
 
   private static RequestOptions options(
@@ -97,8 +97,8 @@
         .setHost(upstream.address())
         .setPort(upstream.port())
         .setURI(path)
-        .setConnectTimeout(CONNECT_MILLIS)
-        .setIdleTimeout(ANSWER_MILLIS);
+        .setConnectTimeout(CONNECT_TIMEOUT_MILLIS)
+        .setIdleTimeout(RESPONSE_TIMEOUT_MILLIS);
   }
 
   private static Future<Outcome> sendNow(HttpClientRequest request, OrderBody body) {
@@ -114,7 +114,7 @@
                 });
   }
 
-  private static Future<Outcome> drop(HttpClientRequest request) {
+  private static Future<Outcome> cancel(HttpClientRequest request) {
     return request.reset().map(Outcome.NOT_SENT).otherwise(Outcome.NOT_SENT);
   }
 
@@ -122,7 +122,7 @@
     try {
       return MAPPER.writeValueAsBytes(body);
     } catch (IOException impossible) {
-      throw new IllegalStateException("No JSON form of " + body, impossible);
+      throw new IllegalStateException("Cannot write as JSON: " + body, impossible);
     }
   }
 
@@ -135,7 +135,7 @@
   private static Future<JsonNode> bodyOf(
       UpstreamDefinition upstream, String path, HttpClientResponse response) {
     if (response.statusCode() != OK) {
-      String detail = path + " answered " + response.statusCode() + "; allowed: " + OK;
+      String detail = path + " returned status " + response.statusCode() + "; allowed: " + OK;
       return Future.failedFuture(new EngineResponseException(upstream.name(), detail, null));
     }
     return response
@@ -145,7 +145,7 @@
               try {
                 return Future.succeededFuture(MAPPER.readTree(body.getBytes()));
               } catch (IOException malformed) {
-                String detail = path + " answered no JSON";
+                String detail = path + " returned invalid JSON";
                 return Future.failedFuture(
                     new EngineResponseException(upstream.name(), detail, malformed));
               }
@@ -164,7 +164,7 @@
       EngineState state =
           new EngineState(
               upstream.name(),
-              UpstreamRole.valueOf(word(status, "role")),
+              UpstreamRole.valueOf(constantName(status, "role")),
               status.path("model").asText(""),
               status.path("version").asText(""),
               adapters,
@@ -172,9 +172,10 @@
               status.path("leaving").asBoolean(),
               progress);
       return Future.succeededFuture(new Reading(state, status.path("ageMillis").asLong()));
-    } catch (IllegalArgumentException unknownWord) {
-      String detail = "an unknown word in the answer: " + unknownWord.getMessage();
-      return Future.failedFuture(new EngineResponseException(upstream.name(), detail, unknownWord));
+    } catch (IllegalArgumentException unknownValue) {
+      String detail = "unknown value in the response: " + unknownValue.getMessage();
+      return Future.failedFuture(
+          new EngineResponseException(upstream.name(), detail, unknownValue));
     }
   }
 
@@ -183,12 +184,12 @@
         order.hasNonNull("reason") ? Optional.of(order.get("reason").asText()) : Optional.empty();
     return new OrderProgress(
         order.path("order").asText(),
-        EngineOrderKind.valueOf(word(order, "kind")),
-        OrderProgress.State.valueOf(word(order, "state")),
+        EngineOrderKind.valueOf(constantName(order, "kind")),
+        OrderProgress.State.valueOf(constantName(order, "state")),
         reason);
   }
 
-  private static String word(JsonNode node, String field) {
+  private static String constantName(JsonNode node, String field) {
     return node.path(field).asText().toUpperCase(Locale.ROOT).replace('-', '_');
   }
 }
--- a/daemon/src/test/java/org/marjoramsail/daemon/order/HttpEngineOrdersTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/order/HttpEngineOrdersTest.java
@@ -37,7 +37,7 @@
 
   private UpstreamDefinition serve() {
     int port =
-        result(vertx.createHttpServer().requestHandler(this::answer).listen(0, "127.0.0.1"))
+        result(vertx.createHttpServer().requestHandler(this::respond).listen(0, "127.0.0.1"))
             .actualPort();
     return new UpstreamDefinition(
         new UpstreamName("lector-1"),
@@ -52,17 +52,17 @@
         false);
   }
 
-  private void answer(HttpServerRequest request) {
+  private void respond(HttpServerRequest request) {
     if (request.path().equals("/v1/status")) {
       request.response().end(STATUS);
     } else if (request.method().name().equals("GET")) {
       request.response().end(ORDERS);
     } else {
-      request.body().onSuccess(body -> take(request, body));
+      request.body().onSuccess(body -> acceptOrder(request, body));
     }
   }
 
-  private void take(HttpServerRequest request, Buffer body) {
+  private void acceptOrder(HttpServerRequest request, Buffer body) {
     bodies.add(body.toString());
     boolean stale = body.toString().contains("\"token\":2,");
     request.response().setStatusCode(stale ? 409 : 202).end("{}");
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void anEngineIsReadFromItsStatusAndItsOrders() {
+  void theStateOfAnEngineIsReadFromItsStatusAndItsOrders() {
     EngineOrders.Reading reading = result(orders.read(upstream));
 
     assertThat(reading.ageMillis()).isEqualTo(70);
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void anOrderCarriesItsTokenAndAStaleOneIsKnown() {
+  void anOrderCarriesItsTokenAndAStaleTokenIsReported() {
     EngineOrder order = EngineOrder.plain("o1", upstream.name(), EngineOrderKind.LEAVE);
 
     assertThat(result(orders.send(upstream, order, 3, () -> true)))
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void nothingIsSentOnceTheLeaseHasRunOut() {
+  void noOrderIsSentAfterTheLeaseHasExpired() {
     EngineOrder order = EngineOrder.plain("o1", upstream.name(), EngineOrderKind.LEAVE);
 
     assertThat(result(orders.send(upstream, order, 3, () -> false)))
