--- a/daemon/src/main/java/org/marjoramsail/daemon/order/LeaseObject.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/order/LeaseObject.java
@@ -97,7 +97,8 @@
   }
 
   private void readFailed(Throwable failure) {
-    if (failure instanceof ObjectApiException refused && refused.failure() == Failure.NOT_FOUND) {
+    if (failure instanceof ObjectApiException apiFailure
+        && apiFailure.failure() == Failure.NOT_FOUND) {
       synchronized (keeper) {
         keeper.read(Optional.empty(), "", clock.millis());
       }
--- a/daemon/src/main/java/org/marjoramsail/daemon/order/LeaseShard.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/order/LeaseShard.java
@@ -28,24 +28,24 @@
 final class LeaseShard {
 
   /** How many loads from the weight store may run at once under one lease. */
-  private static final int WEIGHT_LOADS = 1;
+  private static final int MAXIMUM_WEIGHT_LOADS = 1;
 
-  private static final long BUSY_ROUND_MILLIS = 5_000;
-  private static final long QUIET_ROUND_MILLIS = 60_000;
+  private static final long BUSY_INTERVAL_MILLIS = 5_000;
+  private static final long IDLE_INTERVAL_MILLIS = 60_000;
 
   private final LeaseObject lease;
   private final EngineOrders engines;
   private final StatusObjects statuses;
   private final Clock clock;
   private final MeterRegistry meters;
-  private final Map<UpstreamName, Sent> underWay = new HashMap<>();
+  private final Map<UpstreamName, SentOrder> inFlight = new HashMap<>();
 
-  private boolean inRound;
+  private boolean roundInProgress;
   private long nextRoundMillis;
   private long roundToken;
   private long roundRevision;
 
-  private record Sent(EngineOrder order, long sentMillis) {}
+  private record SentOrder(EngineOrder order, long sentMillis) {}
 
   LeaseShard(
       LeaseObject lease,
@@ -65,56 +65,57 @@
   }
 
   /** Begins a round if one is due; at once after a change of holder or of configuration. */
-  void round(
+  void runRoundIfDue(
       Configuration configuration,
       List<ServiceDefinition> services,
       Map<String, OperatorOrder> orders,
-      Consumer<String> finished) {
+      Consumer<String> onFinished) {
     synchronized (this) {
-      boolean fresh =
+      boolean isImmediate =
           roundToken != lease.token()
               || roundRevision != configuration.revision()
-              || (!orders.isEmpty() && clock.millis() >= nextRoundMillis - QUIET_ROUND_MILLIS / 2);
-      if (inRound || (!fresh && clock.millis() < nextRoundMillis)) {
+              || (!orders.isEmpty()
+                  && clock.millis() >= nextRoundMillis - IDLE_INTERVAL_MILLIS / 2);
+      if (roundInProgress || (!isImmediate && clock.millis() < nextRoundMillis)) {
         return;
       }
-      inRound = true;
+      roundInProgress = true;
       if (roundToken != lease.token()) {
-        underWay.clear();
+        inFlight.clear();
       }
       roundToken = lease.token();
       roundRevision = configuration.revision();
-      nextRoundMillis = clock.millis() + QUIET_ROUND_MILLIS;
+      nextRoundMillis = clock.millis() + IDLE_INTERVAL_MILLIS;
     }
     // Failure: an engine that ignores tokens is read, a last order of the former holder arrives,
     // and
     // what was read is acted on. Such engines get orders only from rounds that began, and so read
     // them, after that time.
-    boolean unfencedToo = lease.mayAct(false);
+    boolean unfencedAllowed = lease.mayAct(false);
     List<Future<Void>> rounds = new ArrayList<>();
     for (ServiceDefinition service : services) {
-      rounds.add(serviceRound(configuration, service, orders, unfencedToo, finished));
+      rounds.add(runServiceRound(configuration, service, orders, unfencedAllowed, onFinished));
     }
-    Future.join(rounds).onComplete(ignored -> endRound(unfencedToo));
+    Future.join(rounds).onComplete(ignored -> endRound(unfencedAllowed));
   }
 
-  private synchronized void endRound(boolean unfencedToo) {
-    inRound = false;
-    if (!unfencedToo || !underWay.isEmpty()) {
-      hurry();
+  private synchronized void endRound(boolean unfencedAllowed) {
+    roundInProgress = false;
+    if (!unfencedAllowed || !inFlight.isEmpty()) {
+      scheduleBusyRound();
     }
   }
 
-  private synchronized void hurry() {
-    nextRoundMillis = Math.min(nextRoundMillis, clock.millis() + BUSY_ROUND_MILLIS);
+  private synchronized void scheduleBusyRound() {
+    nextRoundMillis = Math.min(nextRoundMillis, clock.millis() + BUSY_INTERVAL_MILLIS);
   }
 
-  private Future<Void> serviceRound(
+  private Future<Void> runServiceRound(
       Configuration configuration,
       ServiceDefinition service,
       Map<String, OperatorOrder> orders,
-      boolean unfencedToo,
-      Consumer<String> finished) {
+      boolean unfencedAllowed,
+      Consumer<String> onFinished) {
     Optional<ModelDefinition> model =
         configuration.models().stream()
             .filter(candidate -> service.model().filter(candidate.name()::equals).isPresent())
@@ -132,44 +133,46 @@
         .<Void>mapEmpty()
         .otherwiseEmpty()
         .onSuccess(
-            ignored -> act(service, model.get(), upstreams, states, orders, unfencedToo, finished));
+            ignored ->
+                planAndSend(
+                    service, model.get(), upstreams, states, orders, unfencedAllowed, onFinished));
   }
 
   private Future<Void> read(UpstreamDefinition upstream, Map<UpstreamName, EngineState> states) {
-    long askedMillis = clock.millis();
+    long requestMillis = clock.millis();
     return engines
         .read(upstream)
-        .onSuccess(reading -> take(upstream, reading, askedMillis, states))
+        .onSuccess(reading -> recordReading(upstream, reading, requestMillis, states))
         .onFailure(failure -> count("read-failed"))
         .mapEmpty();
   }
 
-  private synchronized void take(
+  private synchronized void recordReading(
       UpstreamDefinition upstream,
       EngineOrders.Reading reading,
-      long askedMillis,
+      long requestMillis,
       Map<UpstreamName, EngineState> states) {
     // Failure: engines report late. A report from before an order looks as if the order was never
     // sent, and it would be sent again. The order counts as under way until a report is younger.
-    Sent sent = underWay.get(upstream.name());
-    if (sent != null && askedMillis - reading.ageMillis() > sent.sentMillis()) {
-      underWay.remove(upstream.name());
+    SentOrder sent = inFlight.get(upstream.name());
+    if (sent != null && requestMillis - reading.ageMillis() > sent.sentMillis()) {
+      inFlight.remove(upstream.name());
     }
     states.put(upstream.name(), reading.state());
   }
 
-  private void act(
+  private void planAndSend(
       ServiceDefinition service,
       ModelDefinition model,
       List<UpstreamDefinition> upstreams,
       Map<UpstreamName, EngineState> states,
       Map<String, OperatorOrder> orders,
-      boolean unfencedToo,
-      Consumer<String> finished) {
+      boolean unfencedAllowed,
+      Consumer<String> onFinished) {
     OrderPlan plan;
     synchronized (this) {
-      Map<String, OperatorOrder> own = new HashMap<>(orders);
-      own.values().removeIf(order -> !order.service().equals(service.name()));
+      Map<String, OperatorOrder> serviceOrders = new HashMap<>(orders);
+      serviceOrders.values().removeIf(order -> !order.service().equals(service.name()));
       plan =
           OrderPlanner.plan(
               new ServiceSnapshot(
@@ -177,49 +180,50 @@
                   model,
                   upstreams,
                   states,
-                  Set.copyOf(underWay.keySet()),
-                  own,
+                  Set.copyOf(inFlight.keySet()),
+                  serviceOrders,
                   freeWeightLoads(states)));
     }
     Map<UpstreamName, UpstreamDefinition> byName =
-        upstreams.stream().collect(Collectors.toMap(UpstreamDefinition::name, it -> it));
+        upstreams.stream()
+            .collect(Collectors.toMap(UpstreamDefinition::name, upstream -> upstream));
     for (EngineOrder order : plan.orders()) {
-      send(byName.get(order.upstream()), order, unfencedToo);
+      send(byName.get(order.upstream()), order, unfencedAllowed);
     }
     if (lease.isHeld()) {
       statuses.write(plan.status());
-      plan.finished().forEach(finished);
+      plan.finished().forEach(onFinished);
     }
     if (plan.status().phase() != OrderStatus.Phase.DONE) {
-      hurry();
+      scheduleBusyRound();
     }
   }
 
   private int freeWeightLoads(Map<UpstreamName, EngineState> states) {
     long loading = states.values().stream().filter(EngineState::isLoadingWeights).count();
     long sent =
-        underWay.values().stream().filter(it -> it.order().kind().isLoadingWeights()).count();
-    return (int) Math.max(0, WEIGHT_LOADS - loading - sent);
+        inFlight.values().stream().filter(entry -> entry.order().kind().isLoadingWeights()).count();
+    return (int) Math.max(0, MAXIMUM_WEIGHT_LOADS - loading - sent);
   }
 
-  private void send(UpstreamDefinition upstream, EngineOrder order, boolean unfencedToo) {
-    if (!upstream.fenced() && !unfencedToo) {
+  private void send(UpstreamDefinition upstream, EngineOrder order, boolean unfencedAllowed) {
+    if (!upstream.fenced() && !unfencedAllowed) {
       count("held-back");
       return;
     }
     synchronized (this) {
-      underWay.put(upstream.name(), new Sent(order, clock.millis()));
+      inFlight.put(upstream.name(), new SentOrder(order, clock.millis()));
     }
     engines
         .send(upstream, order, roundToken, () -> lease.mayAct(upstream.fenced()))
-        .onComplete(outcome -> sent(upstream, outcome), failure -> count("send-failed"));
+        .onComplete(outcome -> recordOutcome(upstream, outcome), failure -> count("send-failed"));
   }
 
-  private void sent(UpstreamDefinition upstream, EngineOrders.Outcome outcome) {
+  private void recordOutcome(UpstreamDefinition upstream, EngineOrders.Outcome outcome) {
     count(outcome.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'));
     if (outcome != EngineOrders.Outcome.TAKEN) {
       synchronized (this) {
-        underWay.remove(upstream.name());
+        inFlight.remove(upstream.name());
       }
     }
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/order/OrderService.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/order/OrderService.java
@@ -41,8 +41,8 @@
   public static final String LEASE_KIND = LeaseObject.KIND;
 
   private static final Logger LOG = LoggerFactory.getLogger(OrderService.class);
-  private static final long TICK_MILLIS = 1_000;
-  private static final long ORDERS_READ_MILLIS = 20_000;
+  private static final long TICK_INTERVAL_MILLIS = 1_000;
+  private static final long ORDERS_READ_INTERVAL_MILLIS = 20_000;
 
   private final ObjectApi store;
   private final Supplier<Configuration> configuration;
@@ -131,9 +131,11 @@
       readOrdersIfDue();
     }
     for (int number : heldLeases()) {
-      shards.get(number).round(configuration.get(), servicesOf(number), orders(), this::finished);
+      shards
+          .get(number)
+          .runRoundIfDue(configuration.get(), servicesOf(number), orders(), this::deleteFinished);
     }
-    timers.schedule(TICK_MILLIS, this::tick);
+    timers.schedule(TICK_INTERVAL_MILLIS, this::tick);
   }
 
   private List<ServiceDefinition> servicesOf(int lease) {
@@ -154,12 +156,12 @@
       if (clock.millis() < nextOrdersReadMillis) {
         return;
       }
-      nextOrdersReadMillis = clock.millis() + ORDERS_READ_MILLIS;
+      nextOrdersReadMillis = clock.millis() + ORDERS_READ_INTERVAL_MILLIS;
     }
-    store.list(ORDER_KIND).onSuccess(this::takeOrders);
+    store.list(ORDER_KIND).onSuccess(this::replaceOrders);
   }
 
-  private void takeOrders(ObjectList list) {
+  private void replaceOrders(ObjectList list) {
     Map<String, StoredObject> stored = new HashMap<>();
     Map<String, OperatorOrder> parsed = new HashMap<>();
     for (StoredObject object : list.objects()) {
@@ -182,13 +184,13 @@
     }
   }
 
-  private void finished(String order) {
+  private void deleteFinished(String order) {
     StoredObject object;
     synchronized (ordersLock) {
       object = storedOrders.get(order);
-      Map<String, OperatorOrder> left = new HashMap<>(operatorOrders);
-      left.remove(order);
-      operatorOrders = left;
+      Map<String, OperatorOrder> remaining = new HashMap<>(operatorOrders);
+      remaining.remove(order);
+      operatorOrders = remaining;
     }
     if (object != null) {
       store.delete(object);
--- a/daemon/src/main/java/org/marjoramsail/daemon/order/StatusObjects.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/order/StatusObjects.java
@@ -17,12 +17,12 @@
 
   static final String KIND = "orderstatuses";
 
-  private static final long SHORTEST_PAUSE_MILLIS = 5_000;
+  private static final long MINIMUM_INTERVAL_MILLIS = 5_000;
 
   private final ObjectApi store;
   private final Clock clock;
   private final Map<String, OrderStatus> written = new HashMap<>();
-  private final Map<String, Long> lastCalls = new HashMap<>();
+  private final Map<String, Long> lastAttemptMillis = new HashMap<>();
 
   StatusObjects(ObjectApi store, Clock clock) {
     this.store = store;
@@ -33,18 +33,18 @@
   void write(OrderStatus status) {
     synchronized (this) {
       long now = clock.millis();
-      Optional<Long> last = Optional.ofNullable(lastCalls.get(status.service()));
-      boolean early = last.filter(time -> now - time < SHORTEST_PAUSE_MILLIS).isPresent();
-      if (early || status.equals(written.get(status.service()))) {
+      Optional<Long> last = Optional.ofNullable(lastAttemptMillis.get(status.service()));
+      boolean isTooEarly = last.filter(time -> now - time < MINIMUM_INTERVAL_MILLIS).isPresent();
+      if (isTooEarly || status.equals(written.get(status.service()))) {
         return;
       }
-      lastCalls.put(status.service(), now);
+      lastAttemptMillis.put(status.service(), now);
     }
     store
         .get(KIND, status.service())
         .compose(object -> replace(object, status))
         .recover(failure -> createIfAbsent(failure, status))
-        .onSuccess(stored -> remember(status));
+        .onSuccess(stored -> recordWritten(status));
   }
 
   private Future<StoredObject> replace(StoredObject object, OrderStatus status) {
@@ -54,14 +54,15 @@
   }
 
   private Future<StoredObject> createIfAbsent(Throwable failure, OrderStatus status) {
-    boolean absent =
-        failure instanceof ObjectApiException refused && refused.failure() == Failure.NOT_FOUND;
-    return absent
+    boolean isAbsent =
+        failure instanceof ObjectApiException apiFailure
+            && apiFailure.failure() == Failure.NOT_FOUND;
+    return isAbsent
         ? store.create(KIND, status.service(), ConfigurationFormat.toTree(status))
         : Future.failedFuture(failure);
   }
 
-  private synchronized void remember(OrderStatus status) {
+  private synchronized void recordWritten(OrderStatus status) {
     written.put(status.service(), status);
   }
 }
--- a/daemon/src/test/java/org/marjoramsail/daemon/order/FakeEngines.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/order/FakeEngines.java
@@ -18,9 +18,9 @@
 /** Engines that carry out each order at once and write down under which token. */
 final class FakeEngines implements EngineOrders {
 
-  record Taken(UpstreamName upstream, EngineOrderKind kind, long token, long atMillis) {}
+  record AcceptedOrder(UpstreamName upstream, EngineOrderKind kind, long token, long atMillis) {}
 
-  final List<Taken> taken = new ArrayList<>();
+  final List<AcceptedOrder> accepted = new ArrayList<>();
   private final Map<UpstreamName, EngineState> states = new HashMap<>();
   private final LongSupplier now;
 
@@ -42,7 +42,7 @@
     if (!allowed.getAsBoolean()) {
       return Future.succeededFuture(Outcome.NOT_SENT);
     }
-    taken.add(new Taken(upstream.name(), order.kind(), token, now.getAsLong()));
+    accepted.add(new AcceptedOrder(upstream.name(), order.kind(), token, now.getAsLong()));
     EngineState old = state(upstream);
     List<OrderProgress> orders = new ArrayList<>(old.orders());
     orders.add(
--- a/daemon/src/test/java/org/marjoramsail/daemon/order/OrderServiceTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/order/OrderServiceTest.java
@@ -43,64 +43,64 @@
         new SimpleMeterRegistry());
   }
 
-  private boolean allEnginesAreAsWished() {
+  private boolean allEnginesAreInTheDesiredState() {
     return configuration.upstreams().stream()
         .map(engines::state)
         .allMatch(state -> state.version().equals("v1") && !state.leaving());
   }
 
   @Test
-  void aNewVersionIsRolledOutAndTheStatusIsWrittenSeldom() {
+  void aNewVersionIsRolledOutAndStatusWritesAreRateLimited() {
     daemon(0).start();
     timers.advance(20 * MINUTE_MILLIS);
 
-    assertThat(allEnginesAreAsWished()).isTrue();
+    assertThat(allEnginesAreInTheDesiredState()).isTrue();
     String status = store.find(StatusObjects.KIND, "lector").orElseThrow().spec().toString();
     assertThat(status).contains("\"phase\":\"DONE\"");
     long writes =
-        store.written().stream().filter(it -> it.kind().equals(StatusObjects.KIND)).count();
+        store.written().stream().filter(object -> object.kind().equals(StatusObjects.KIND)).count();
     assertThat(writes).isLessThan(20 * 60 / 5);
   }
 
   @Test
-  void anOutageOfTheStoreStopsOrdersOnceTheLeaseHasRunOutAndTheRolloutGoesOnAfterIt() {
+  void aStoreOutageStopsOrdersWhenTheLeaseExpiresAndTheRolloutContinuesAfterTheOutage() {
     // The store goes down in the middle of a rollout. The holder cannot renew its lease. Were it to
     // go on, a daemon that still reaches the store could take the lease and order the opposite.
     daemon(0).start();
     timers.advance(30_000);
-    assertThat(engines.taken).isNotEmpty();
+    assertThat(engines.accepted).isNotEmpty();
 
     store.faults(call -> Fault.UNAVAILABLE);
     long outageMillis = clock.millis();
     timers.advance(10 * MINUTE_MILLIS);
-    long last = engines.taken.get(engines.taken.size() - 1).atMillis();
+    long last = engines.accepted.get(engines.accepted.size() - 1).atMillis();
     assertThat(last).isLessThanOrEqualTo(outageMillis + LeaseKeeper.ACTING_MILLIS);
-    assertThat(allEnginesAreAsWished()).isFalse();
+    assertThat(allEnginesAreInTheDesiredState()).isFalse();
 
     store.faults(call -> Fault.NONE);
     timers.advance(20 * MINUTE_MILLIS);
-    assertThat(allEnginesAreAsWished()).isTrue();
+    assertThat(allEnginesAreInTheDesiredState()).isTrue();
   }
 
   @Test
-  void aDaemonThatStopsHandsTheRolloutToAnotherWithANewToken() {
+  void anotherDaemonContinuesTheRolloutWithAGreaterTokenWhenTheHolderStops() {
     OrderService first = daemon(0);
     OrderService second = daemon(1);
     first.start();
     timers.advance(40_000);
-    long firstToken = engines.taken.get(engines.taken.size() - 1).token();
+    long firstToken = engines.accepted.get(engines.accepted.size() - 1).token();
 
     first.stop();
     second.start();
     timers.advance(20 * MINUTE_MILLIS);
 
-    assertThat(allEnginesAreAsWished()).isTrue();
-    assertThat(engines.taken.get(engines.taken.size() - 1).token()).isGreaterThan(firstToken);
-    assertThat(engines.taken).extracting(FakeEngines.Taken::token).isSorted();
+    assertThat(allEnginesAreInTheDesiredState()).isTrue();
+    assertThat(engines.accepted.get(engines.accepted.size() - 1).token()).isGreaterThan(firstToken);
+    assertThat(engines.accepted).extracting(FakeEngines.AcceptedOrder::token).isSorted();
   }
 
   @Test
-  void sevenDaemonsAtRestCallTheStoreSeldom() {
+  void sevenIdleDaemonsCallTheStoreRarely() {
     List<OrderService> services = new ArrayList<>();
     for (int number = 0; number < 7; number++) {
       services.add(daemon(number));
