--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimMeasurement.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimMeasurement.java
@@ -31,11 +31,12 @@
 import org.marjoramsail.daemon.platform.ObjectApi;
 
 /**
- * Measures claims against writes and added time, with several daemons in one process.
+ * Load test that measures the latency of claims and the number of store writes, with several
+ * daemons in one process.
  *
- * <p>Keys are fresh, each claim is settled as soon as it is granted, and messages between daemons
- * take a fixed time instead of a socket. Claims are asked for at a fixed rate whatever the answers
- * do, so that waiting shows.
+ * <p>Each claim has a new key and is settled immediately after its result. Messages between daemons
+ * have a fixed delay instead of a network connection. Claims are sent at a fixed rate, independent
+ * of the results, so that queueing appears in the latency.
  */
 public final class ClaimMeasurement {
 
@@ -47,14 +48,14 @@
   private static final long CLAIM_WITHIN_MILLIS = 5_000;
 
   /**
-   * What to measure.
+   * Parameters of a measurement.
    *
-   * @param daemons how many daemons ask
-   * @param claimsPerSecond how many claims they ask for together
-   * @param warmUpSeconds how long before the figures are taken
-   * @param seconds how long the figures are taken
-   * @param hopMillis time of a message between two daemons; more than zero
-   * @param shared whether one daemon batches a segment for all, or each daemon for itself
+   * @param daemons number of daemons that claim
+   * @param claimsPerSecond number of claims per second, of all daemons together
+   * @param warmUpSeconds duration of the load before the measured interval
+   * @param seconds duration of the measured interval
+   * @param hopMillis delay of a message between two daemons; greater than zero
+   * @param shared whether one daemon batches a segment for all daemons, or each daemon for itself
    */
   public record Load(
       int daemons,
@@ -64,7 +65,7 @@
       long hopMillis,
       boolean shared) {}
 
-  /** A daemon on an event loop of its own. */
+  /** A daemon with its own event loop. */
   private record Daemon(Context context, PeerClaimService service) {}
 
   private final Vertx vertx;
@@ -79,7 +80,7 @@
   private final AtomicLong otherResults = new AtomicLong();
   private final AtomicLong nextKey = new AtomicLong();
 
-  /** Creates an instance with all that it needs; one instance measures once. */
+  /** Creates a measurement that can be run once. */
   public ClaimMeasurement(
       Vertx vertx, Clock clock, ClaimSettings settings, RandomGenerator random) {
     this.vertx = vertx;
@@ -89,9 +90,9 @@
   }
 
   /**
-   * Runs the load.
+   * Starts the daemons, runs the load and returns the measured values.
    *
-   * @param api gives each daemon, counted from zero, its way to the object API
+   * @param api returns the object API client of a daemon by its number, counted from zero
    */
   public Future<ClaimMeasurementReport> run(Load load, IntFunction<ObjectApi> api) {
     return startDaemons(load, api).compose(started -> measure(load));
--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimMeasurementReport.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimMeasurementReport.java
@@ -3,17 +3,17 @@
 import java.util.Locale;
 
 /**
- * What a run of {@link ClaimMeasurement} showed.
+ * Result of a {@link ClaimMeasurement}.
  *
- * @param daemons how many daemons asked
- * @param requestedPerSecond claims asked for, a second
- * @param grantedPerSecond claims granted, a second
- * @param otherResults claims with another result than a grant; all keys were fresh
- * @param writesPerSecond writes that the daemons sent, a second
- * @param failedWrites writes without success, conflicts included
- * @param p50Millis added time of a claim, half of them
- * @param p95Millis added time of a claim, 95 in 100
- * @param p99Millis added time of a claim, 99 in 100
+ * @param daemons number of daemons that claimed
+ * @param requestedPerSecond claims sent per second
+ * @param grantedPerSecond claims granted per second
+ * @param otherResults claims with another result than a grant, although every key was new
+ * @param writesPerSecond writes that the daemons sent to the store per second
+ * @param failedWrites writes that failed, conflicts included
+ * @param p50Millis median latency of a granted claim
+ * @param p95Millis 95th percentile of the latency of a granted claim
+ * @param p99Millis 99th percentile of the latency of a granted claim
  */
 public record ClaimMeasurementReport(
     int daemons,
@@ -26,13 +26,13 @@
     double p95Millis,
     double p99Millis) {
 
-  /** The names of the columns of {@link #row()}. */
+  /** Returns the header of a Markdown table with the columns of {@link #row()}. */
   public static String header() {
     return "| daemons | asked/s | granted/s | other results | writes/s | failed writes | p50 ms"
         + " | p95 ms | p99 ms |";
   }
 
-  /** One row of a table. */
+  /** Returns the values as a row of a Markdown table. */
   public String row() {
     return String.format(
         Locale.ROOT,
--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimPageCodec.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimPageCodec.java
@@ -13,7 +13,12 @@
 import org.marjoramsail.core.claim.ClaimState;
 import org.marjoramsail.core.model.DaemonId;
 
-/** The JSON of a page; each entry is an array, since pages are rewritten often. */
+/**
+ * Converts claim pages to and from JSON.
+ *
+ * <p>Each entry is an array instead of an object, which keeps pages small, since every write
+ * replaces a whole page.
+ */
 final class ClaimPageCodec {
 
   private static final int FIELDS_PER_ENTRY = 9;
@@ -42,7 +47,7 @@
     fields.add(entry.expiryMillis());
   }
 
-  /** Reads a page; empty if it is no page of this version of the program. */
+  /** Parses a page; returns empty if the content is not a page that this version can read. */
   static Optional<ClaimPage> read(ObjectNode spec) {
     List<ClaimEntry> entries = new ArrayList<>();
     for (JsonNode fields : spec.path("entries")) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimRequest.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimRequest.java
@@ -3,10 +3,10 @@
 import org.marjoramsail.core.claim.ClaimKey;
 
 /**
- * A request that must be claimed before it is sent.
+ * Claim of a request, which must be granted before the request is sent to an upstream.
  *
- * @param key what may run at most once
- * @param bodyHash fingerprint of its body, from {@link ClaimKey#bodyHash(byte[])}
- * @param withinMillis how long its caller can wait for the claim, in milliseconds
+ * @param key key under which the request runs at most once
+ * @param bodyHash fingerprint of the request body, from {@link ClaimKey#bodyHash(byte[])}
+ * @param withinMillis maximum time to wait for the result, in milliseconds
  */
 public record ClaimRequest(ClaimKey key, String bodyHash, long withinMillis) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimService.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimService.java
@@ -5,21 +5,23 @@
 import org.marjoramsail.core.claim.ClaimOutcome;
 import org.marjoramsail.core.claim.ClaimResult;
 
-/** Lets a request with an idempotency key run at most once in the whole fleet. */
+/** Ensures that a request with an idempotency key runs at most once across all daemons. */
 public interface ClaimService {
 
   /**
-   * Records that this daemon is about to run a request.
+   * Claims a request, before this daemon sends it to an upstream.
    *
-   * @return the result, which never fails; only {@code GRANTED} allows the request to be sent
+   * @return a future that never fails; only the result {@code GRANTED} allows the request to be
+   *     sent
    */
   Future<ClaimResult> claim(ClaimRequest request);
 
   /**
-   * Records how a request that was granted here ended; does nothing for others. Without it a repeat
-   * is told that the end is unknown.
+   * Sends the outcome of a request whose claim was granted to this daemon; does nothing for other
+   * requests. If it is not called, a repeated request is refused because its outcome is unknown.
    *
-   * @return done when the outcome was handed on; it is recorded a little later, or is lost
+   * @return a future that completes when the outcome has been sent; it is stored later, or lost if
+   *     a daemon fails before that
    */
   Future<Void> settle(ClaimKey key, ClaimOutcome outcome);
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/PeerClaimService.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/PeerClaimService.java
@@ -35,11 +35,12 @@
 import org.marjoramsail.daemon.timing.AdaptiveTimer;
 
 /**
- * Claims by way of the daemon that batches the segment of a key.
+ * Claim service in which one daemon batches the claims of each segment of the key space.
  *
- * <p>It has both sides: it asks for its own claims, and it batches the segments that rendezvous
- * hashing over the live daemons gives it. The messages {@code ClaimMessage}, {@code
- * ClaimResultMessage} and {@code SettleMessage} of other daemons go to {@link #handle}.
+ * <p>Each daemon sends its claims to the owner of the key's segment, and batches the claims of the
+ * segments that it owns. Owners are chosen by rendezvous hashing over the live daemons. Messages of
+ * type {@code ClaimMessage}, {@code ClaimResultMessage} and {@code SettleMessage} from other
+ * daemons are passed to {@link #handle}.
  */
 public final class PeerClaimService implements ClaimService, PeerMessageHandler {
 
@@ -47,10 +48,10 @@
   private static final long IDLE_TICK_MILLIS = 50;
   private static final long OWNER_UPDATE_MILLIS = 250;
 
-  /** The state of one segment here; each part under a lock of its own. */
+  /** State of one segment on this daemon; requests and batching have separate locks. */
   private record Shard(int segment, ClaimRequests requests, SegmentBatching batching) {}
 
-  /** A claim whose result the caller waits for. */
+  /** A claim without a result yet, with the promise that receives the result. */
   private record PendingClaim(ClaimKey key, Claim claim, Promise<ClaimResult> promise) {}
 
   private final Vertx vertx;
@@ -69,9 +70,9 @@
   private long ownerTimer;
 
   /**
-   * Creates an instance with all that it needs; nothing runs before {@link #start()}.
+   * Creates a service that is not started.
    *
-   * @param liveDaemons the live runs of daemons, this one included
+   * @param liveDaemons the incarnations of daemons that are alive, including this one
    */
   public PeerClaimService(
       Vertx vertx,
@@ -107,14 +108,14 @@
     return !pendingClaims.isEmpty() || shards.stream().anyMatch(shard -> shard.batching().isBusy());
   }
 
-  /** Starts its timers. */
+  /** Starts the timers. */
   public void start() {
     updateOwners();
     ownerTimer = vertx.setPeriodic(OWNER_UPDATE_MILLIS, unused -> updateOwners());
     tickTimer.start();
   }
 
-  /** Stops its timers; claims that still wait get no result. */
+  /** Stops the timers; pending claims receive no result. */
   public void stop() {
     tickTimer.stop();
     vertx.cancelTimer(ownerTimer);
@@ -167,8 +168,8 @@
   }
 
   /**
-   * Picks the owners from time to time rather than for each claim, since it hashes all daemons; an
-   * owner of a moment ago is as safe, and only costs conflicts.
+   * Recomputes the owners of all segments, periodically instead of for each claim, because this
+   * hashes every live daemon. An outdated owner is safe: it only causes write conflicts.
    */
   private void updateOwners() {
     Collection<DaemonId> candidates = liveDaemons.get();
@@ -214,7 +215,7 @@
     pending.promise().complete(result);
   }
 
-  /** A request that a daemon was running when it died has an unknown end. */
+  /** Replaces {@code RUNNING_ELSEWHERE} if the daemon that ran the request is not alive. */
   private ClaimResult resolveFailedHolder(ClaimResult result) {
     boolean holderFailed =
         result.kind() == Kind.RUNNING_ELSEWHERE
--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/SegmentBatching.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/SegmentBatching.java
@@ -15,10 +15,10 @@
 import org.marjoramsail.core.time.Clock;
 import org.marjoramsail.daemon.platform.ObjectApiException;
 
-/** Runs the batcher of one segment under its lock and does what it asks for outside of it. */
+/** Calls the batcher of one segment under a lock and performs its actions outside of the lock. */
 final class SegmentBatching {
 
-  /** Sends a result to a claimant. */
+  /** Sends the result of a claim to the daemon that sent the claim. */
   interface ResultSender {
     void send(DeliverResult delivery);
   }
@@ -46,7 +46,9 @@
     step(now -> getOrCreateBatcher(now).settle(settlement, now));
   }
 
-  /** Does what time has made due, and forgets the segment when another daemon has it. */
+  /**
+   * Runs the actions that are due, and removes an idle batcher if another daemon owns the segment.
+   */
   void tick(boolean owner) {
     step(
         now -> {
@@ -129,7 +131,7 @@
     }
   }
 
-  /** Hands a result to the batcher that asked; one that was forgotten since gets nothing. */
+  /** Passes a store result to the batcher that requested it, unless that batcher was removed. */
   private void reportResult(
       Optional<ClaimBatcher> requester, Function<ClaimBatcher, List<ClaimAction>> event) {
     step(
--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/SegmentOwner.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/SegmentOwner.java
@@ -5,7 +5,7 @@
 import java.util.Comparator;
 import org.marjoramsail.core.model.DaemonId;
 
-/** Picks the daemon that batches a segment: the highest hash of segment and host wins. */
+/** Selects the daemon that batches a segment, by rendezvous hashing of segment and host. */
 final class SegmentOwner {
 
   private SegmentOwner() {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/SegmentStore.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/SegmentStore.java
@@ -13,7 +13,7 @@
 import org.marjoramsail.daemon.platform.ObjectApiException.Failure;
 import org.marjoramsail.daemon.platform.StoredObject;
 
-/** The pages of one segment as objects of the platform. */
+/** Reads and writes the claim pages of one segment as objects of the platform's object API. */
 final class SegmentStore {
 
   private static final String KIND = "claimsegments";
@@ -28,7 +28,7 @@
     this.segment = segment;
   }
 
-  /** Reads a page; empty where there is none; fails also for content that is no page. */
+  /** Reads a page; empty if it does not exist, and a failure if its content is not a page. */
   Future<Optional<VersionedPage>> read(ReadPage read) {
     return api.get(KIND, name(read.slot()))
         .compose(this::decode)
@@ -51,12 +51,12 @@
                         Failure.INVALID,
                         KIND,
                         object.name(),
-                        "it is no page of claims",
+                        "the content is not a claim page",
                         Optional.empty(),
                         null)));
   }
 
-  /** Writes a page; gives its version. */
+  /** Writes a page and returns its new version. */
   Future<String> write(WritePage write) {
     ObjectNode spec = ClaimPageCodec.write(write.page());
     String name = name(write.slot());
@@ -74,7 +74,7 @@
   }
 
   static Failure failure(Throwable cause) {
-    // A failure that the client has no type for may have come after the call took effect.
+    // Other failures may occur after the call has taken effect.
     return cause instanceof ObjectApiException typed ? typed.failure() : Failure.UNCERTAIN;
   }
 
--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/package-info.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/package-info.java
@@ -1,2 +1,2 @@
-/** Claims of requests with an idempotency key, recorded in the platform's object API. */
+/** Claims of requests with an idempotency key, stored through the platform's object API. */
 package org.marjoramsail.daemon.claim;
--- a/daemon/src/test/java/org/marjoramsail/daemon/claim/PeerClaimServiceTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/claim/PeerClaimServiceTest.java
@@ -85,8 +85,8 @@
 
   @Test
   void aRequestOfAFailedDaemonIsNeverGrantedAgain() throws Exception {
-    // A neighbour's ballot is claimed, and the daemon dies before it could say how it ended. The
-    // neighbour sends it again. Nobody can know whether it was counted, so it must not run.
+    // Guards against a request that runs twice: the daemon fails before it records the outcome, so
+    // a repeated request must not run, since the first one may have taken effect.
     assertThat(await(first.claim(ballot("1", "yes"))).kind()).isEqualTo(Kind.GRANTED);
 
     PeerClaimService restarted = restartAll();
