--- a/daemon/src/main/java/org/marjoramsail/daemon/order/EngineOrders.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/order/EngineOrders.java
@@ -6,41 +6,41 @@
 import org.marjoramsail.core.order.EngineOrder;
 import org.marjoramsail.core.order.EngineState;
 
-/** Sends orders to engines and asks how they are; failed futures carry the cause. */
+/** Client that sends orders to engines and reads their states. */
 public interface EngineOrders {
 
   /**
-   * Sends an order.
+   * Sends an order to an engine.
    *
    * @param upstream the engine
-   * @param order what to do
-   * @param token the fencing token of the lease
-   * @param allowed asked at the last moment before the bytes go out; nothing is sent when it says
-   *     no
+   * @param order the order
+   * @param token fencing token of the lease under which the order is sent
+   * @param allowed checked immediately before the order is sent; if it returns false, nothing is
+   *     sent
    */
   Future<Outcome> send(
       UpstreamDefinition upstream, EngineOrder order, long token, BooleanSupplier allowed);
 
-  /** Asks an engine what it has loaded, what it runs, and which orders it remembers. */
+  /** Reads the loaded model, the number of requests and the latest orders of an engine. */
   Future<Reading> read(UpstreamDefinition upstream);
 
-  /** What became of an order that was to be sent. */
+  /** Outcome of sending an order. */
   enum Outcome {
-    /** The engine took it. */
+    /** The engine accepted the order. */
     TAKEN,
-    /** The engine has seen a newer token; it did nothing. */
+    /** The engine rejected the order because it has received a newer token. */
     STALE_TOKEN,
-    /** The engine refused it for another reason. */
+    /** The engine rejected the order for another reason. */
     REFUSED,
-    /** It was not sent, since the lease had run out. */
+    /** The order was not sent because the lease had expired. */
     NOT_SENT
   }
 
   /**
-   * What an engine said.
+   * State of an engine, as it reported it.
    *
-   * @param state its state
-   * @param ageMillis how old that was when it said it
+   * @param state the reported state
+   * @param ageMillis age of the state when the engine sent it, in milliseconds
    */
   record Reading(EngineState state, long ageMillis) {}
 }
--- a/daemon/src/main/java/org/marjoramsail/daemon/order/HttpEngineOrders.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/order/HttpEngineOrders.java
@@ -26,7 +26,7 @@
 import org.marjoramsail.core.order.EngineState;
 import org.marjoramsail.core.order.OrderProgress;
 
-/** Orders over the engines' HTTP interface. */
+/** Client of the engines' HTTP interface for orders. */
 public final class HttpEngineOrders implements EngineOrders {
 
   private static final ObjectMapper MAPPER =
@@ -36,7 +36,8 @@
           .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
           .build();
   private static final long CONNECT_TIMEOUT_MILLIS = 1_000;
-  // With the time to connect, less than the longest time that an order may be under way.
+  // Together with the connect timeout, less than the maximum time an order may be in flight.
+  // See LeaseKeeper.MAXIMUM_IN_FLIGHT_MILLIS.
   private static final long RESPONSE_TIMEOUT_MILLIS = 3_000;
   private static final int ACCEPTED = 202;
   private static final int OK = 200;
@@ -44,7 +45,7 @@
 
   private final HttpClient client;
 
-  /** Creates an instance with the client whose connections it uses. */
+  /** Creates an instance that sends through the given HTTP client. */
   public HttpEngineOrders(HttpClient client) {
     this.client = client;
   }
--- a/daemon/src/main/java/org/marjoramsail/daemon/order/LeaseObject.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/order/LeaseObject.java
@@ -13,7 +13,7 @@
 import org.marjoramsail.daemon.platform.ObjectApiException.Failure;
 import org.marjoramsail.daemon.platform.StoredObject;
 
-/** One lease in the store: carries out the calls of its keeper and tells it the outcome. */
+/** Performs the store calls of the keeper of one lease and reports their results to the keeper. */
 final class LeaseObject {
 
   static final String KIND = "leases";
--- a/daemon/src/main/java/org/marjoramsail/daemon/order/LeaseShard.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/order/LeaseShard.java
@@ -24,10 +24,14 @@
 import org.marjoramsail.core.order.ServiceSnapshot;
 import org.marjoramsail.core.time.Clock;
 
-/** The services under one lease: asks their engines, plans, and sends, in rounds. */
+/**
+ * Runs the orders of the services under one lease, in rounds.
+ *
+ * <p>A round reads the states of the services' engines, plans the next orders and sends them.
+ */
 final class LeaseShard {
 
-  /** How many loads from the weight store may run at once under one lease. */
+  /** Maximum number of concurrent loads from the weight store under one lease. */
   private static final int MAXIMUM_WEIGHT_LOADS = 1;
 
   private static final long BUSY_INTERVAL_MILLIS = 5_000;
@@ -64,7 +68,11 @@
     return lease;
   }
 
-  /** Begins a round if one is due; at once after a change of holder or of configuration. */
+  /**
+   * Starts a round if one is due; a new holder or a new configuration starts one immediately.
+   *
+   * @param onFinished called with the name of each operator's order that is finished
+   */
   void runRoundIfDue(
       Configuration configuration,
       List<ServiceDefinition> services,
@@ -87,10 +95,9 @@
       roundRevision = configuration.revision();
       nextRoundMillis = clock.millis() + IDLE_INTERVAL_MILLIS;
     }
-    // Failure: an engine that ignores tokens is read, a last order of the former holder arrives,
-    // and
-    // what was read is acted on. Such engines get orders only from rounds that began, and so read
-    // them, after that time.
+    // Guards against acting on an outdated state: an engine that ignores tokens may execute a last
+    // order of the former holder after its state was read. Such engines receive orders only from
+    // rounds that started, and thus read their states, after that order must have arrived.
     boolean unfencedAllowed = lease.mayAct(false);
     List<Future<Void>> rounds = new ArrayList<>();
     for (ServiceDefinition service : services) {
@@ -152,8 +159,8 @@
       EngineOrders.Reading reading,
       long requestMillis,
       Map<UpstreamName, EngineState> states) {
-    // Failure: engines report late. A report from before an order looks as if the order was never
-    // sent, and it would be sent again. The order counts as under way until a report is younger.
+    // Guards against sending an order twice: a state from before an order does not reflect it. The
+    // order is in flight until a newer state arrives.
     SentOrder sent = inFlight.get(upstream.name());
     if (sent != null && requestMillis - reading.ageMillis() > sent.sentMillis()) {
       inFlight.remove(upstream.name());
--- a/daemon/src/main/java/org/marjoramsail/daemon/order/OperatorOrderDocument.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/order/OperatorOrderDocument.java
@@ -4,9 +4,9 @@
 import org.marjoramsail.core.order.OperatorOrder;
 
 /**
- * The content of an object that holds an operator's order.
+ * Content of a stored object that holds an operator's order.
  *
- * @param order what was ordered
- * @param orderedBy the operator
+ * @param order the order
+ * @param orderedBy name of the operator who gave the order
  */
 public record OperatorOrderDocument(OperatorOrder order, Optional<String> orderedBy) {}
--- a/daemon/src/main/java/org/marjoramsail/daemon/order/OrderService.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/order/OrderService.java
@@ -24,20 +24,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings engines to what the configuration and operators wish, for the services whose lease this
- * daemon holds.
+ * Sends orders that bring engines to the state that the configuration and operators require.
  *
- * <p>Safe on any thread.
+ * <p>Services are divided among several leases; this daemon sends orders only for the services
+ * whose lease it holds. Thread-safe.
  */
 public final class OrderService {
 
-  /** The kind of the objects that hold operators' orders; each is an {@link OperatorOrder}. */
+  /** Kind of the objects that hold operators' orders, each an {@link OperatorOrderDocument}. */
   public static final String ORDER_KIND = "orders";
 
-  /** The kind of the objects that tell where the orders of a service stand. */
+  /** Kind of the objects that hold the order status of a service. */
   public static final String STATUS_KIND = StatusObjects.KIND;
 
-  /** The kind of the leases; each is a {@code LeaseRecord}. */
+  /** Kind of the objects that hold leases, each a {@code LeaseRecord}. */
   public static final String LEASE_KIND = LeaseObject.KIND;
 
   private static final Logger LOG = LoggerFactory.getLogger(OrderService.class);
@@ -59,15 +59,15 @@
   private volatile boolean running;
 
   /**
-   * Creates an instance with all that it needs; does nothing until it is started.
+   * Creates a service that is not started.
    *
-   * @param store where leases, operators' orders and statuses are kept
-   * @param engines sends the orders
-   * @param configuration the configuration in force
-   * @param membership the daemons, as seen now
-   * @param clock the time
-   * @param timers wakes it up
-   * @param meters counts orders by outcome
+   * @param store holds the leases, operators' orders and statuses
+   * @param engines client that sends orders to engines
+   * @param configuration returns the current configuration
+   * @param membership returns the current view of the daemons
+   * @param clock source of the current time
+   * @param timers schedules the periodic work
+   * @param meters records the outcomes of orders
    */
   public OrderService(
       ObjectApi store,
@@ -91,24 +91,24 @@
     }
   }
 
-  /** The name of the object of a lease. */
+  /** Returns the name of the object that holds a lease. */
   public static String leaseName(int number) {
     return "orders-" + number;
   }
 
-  /** Begins to try for leases and to send orders. */
+  /** Starts to acquire leases and to send orders. */
   public void start() {
     running = true;
     tick();
   }
 
-  /** Sends nothing more and gives the leases back, so that another daemon goes on soon. */
+  /** Stops sending orders and releases the leases, so that other daemons can acquire them. */
   public void stop() {
     running = false;
     shards.forEach(shard -> shard.lease().release());
   }
 
-  /** The numbers of the leases that this daemon holds now. */
+  /** Returns the numbers of the leases that this daemon holds now. */
   public List<Integer> heldLeases() {
     List<Integer> held = new ArrayList<>();
     for (int number = 0; number < shards.size(); number++) {
--- a/daemon/src/main/java/org/marjoramsail/daemon/order/StatusObjects.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/order/StatusObjects.java
@@ -12,7 +12,7 @@
 import org.marjoramsail.daemon.platform.ObjectApiException.Failure;
 import org.marjoramsail.daemon.platform.StoredObject;
 
-/** Writes where the orders of each service stand: on changes only, and seldom. */
+/** Writes the order status of each service when it changes, at a limited rate. */
 final class StatusObjects {
 
   static final String KIND = "orderstatuses";
@@ -29,7 +29,9 @@
     this.clock = clock;
   }
 
-  /** Writes a status if it has changed and the last writing is long enough ago. */
+  /**
+   * Writes a status if it has changed and the minimum interval since the last attempt has passed.
+   */
   void write(OrderStatus status) {
     synchronized (this) {
       long now = clock.millis();
--- a/daemon/src/main/java/org/marjoramsail/daemon/order/package-info.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/order/package-info.java
@@ -1,2 +1,2 @@
-/** Orders to engines, sent under leases kept in the platform's store. */
+/** Orders to engines, sent by the daemons that hold leases in the platform's object store. */
 package org.marjoramsail.daemon.order;
--- a/daemon/src/test/java/org/marjoramsail/daemon/order/FakeEngines.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/order/FakeEngines.java
@@ -15,7 +15,7 @@
 import org.marjoramsail.core.order.EngineState;
 import org.marjoramsail.core.order.OrderProgress;
 
-/** Engines that carry out each order at once and write down under which token. */
+/** Fake engines that execute each order immediately and record it with its token. */
 final class FakeEngines implements EngineOrders {
 
   record AcceptedOrder(UpstreamName upstream, EngineOrderKind kind, long token, long atMillis) {}
--- a/daemon/src/test/java/org/marjoramsail/daemon/order/OrderServiceTest.java
+++ b/daemon/src/test/java/org/marjoramsail/daemon/order/OrderServiceTest.java
@@ -64,8 +64,8 @@
 
   @Test
   void aStoreOutageStopsOrdersWhenTheLeaseExpiresAndTheRolloutContinuesAfterTheOutage() {
-    // The store goes down in the middle of a rollout. The holder cannot renew its lease. Were it to
-    // go on, a daemon that still reaches the store could take the lease and order the opposite.
+    // Guards against two daemons that send contradictory orders: a holder that cannot renew its
+    // lease must stop before another daemon can acquire it.
     daemon(0).start();
     timers.advance(30_000);
     assertThat(engines.accepted).isNotEmpty();
