--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimMeasurementReport.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimMeasurementReport.java
@@ -10,7 +10,7 @@
  * @param grantedPerSecond claims granted per second
  * @param otherResults claims with another result than a grant, although every key was new
  * @param writesPerSecond writes that the daemons sent to the store per second
- * @param failedWrites writes that failed, conflicts included
+ * @param failedWrites writes that failed during the whole run, conflicts included
  * @param p50Millis median latency of a granted claim
  * @param p95Millis 95th percentile of the latency of a granted claim
  * @param p99Millis 99th percentile of the latency of a granted claim
--- a/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimService.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/claim/ClaimService.java
@@ -18,7 +18,7 @@
 
   /**
    * Sends the outcome of a request whose claim was granted to this daemon; does nothing for other
-   * requests. If it is not called, a repeated request is refused because its outcome is unknown.
+   * requests. Without it, the outcome of the request stays unknown to repeated requests.
    *
    * @return a future that completes when the outcome has been sent; it is stored later, or lost if
    *     a daemon fails before that
