--- a/daemon/src/main/java/org/marjoramsail/daemon/order/LeaseShard.java
+++ b/daemon/src/main/java/org/marjoramsail/daemon/order/LeaseShard.java
@@ -69,7 +69,8 @@
   }
 
   /**
-   * Starts a round if one is due; a new holder or a new configuration starts one immediately.
+   * Starts a round if one is due. A new holder or a new configuration starts one immediately;
+   * operators' orders start one up to half the idle interval early.
    *
    * @param onFinished called with the name of each operator's order that is finished
    */
